--- a/mothstand/core/accounts.py
+++ b/mothstand/core/accounts.py
@@ -1,9 +1,9 @@
-"""The two accounts of an epoch: the holder's, which spends, and the witness's, which limits it.
+"""Accounts of an epoch: the holder's, which spends, and the witness's, which limits the spend.
 
-Nothing here knows of time or of who is alive. The holder asks its witness, in numbered batches,
-to acknowledge each reservation; the witness's account is the authority. The witness sums by
-reservation number and takes batches strictly in order, so a batch sent again, or a settlement that
-comes with its reservation, can never make room twice.
+Neither account depends on time or on liveness. The holder asks its witness in numbered batches to
+acknowledge each reservation; the witness's account is authoritative. The witness counts by
+reservation number and applies batches strictly in order, so a repeated batch, or a settlement that
+arrives with its reservation, cannot free tokens twice.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class Lane(Enum):
-    """Which part of a grant a reservation draws on."""
+    """Part of a grant that a reservation draws on."""
 
     WITNESSED = "witnessed"
     OWN = "own"
@@ -33,7 +33,7 @@
     Parameters
     ----------
     number
-        Counts the reservations of one account.
+        Sequence number within one account; negative for the witness's own reservations.
     bound_tokens
         Upper bound of the usage.
     owner
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settlement:
-    """The true usage of one reservation."""
+    """Actual usage of one reservation."""
 
     number: int
     used_tokens: int
@@ -66,10 +66,12 @@
 
 @dataclass(frozen=True, slots=True)
 class MirrorBatch:
-    """What the holder tells its witness at once; `number` counts the batches of an epoch from 1.
+    """Changes that the holder reports to its witness in one message.
 
     Parameters
     ----------
+    number
+        Counts the batches of an epoch from 1.
     posted
         Numbers of settled reservations whose bills are in the log.
     """
@@ -87,10 +89,10 @@
 
     Parameters
     ----------
-    sealed
-        The witness acknowledges nothing any more, this batch included.
+    is_sealed
+        Whether the witness has stopped acknowledging; this batch was not applied.
     rejected
-        Numbers of reservations that did not fit into what the witness may certify.
+        Numbers of the reservations that exceed what the witness may certify.
     """
 
     sealed: bool
@@ -128,7 +130,7 @@
         return sum(r.bound_tokens for r in self.open.values() if r.budget == budget)
 
     def spends(self) -> tuple[BudgetSpend, ...]:
-        """Return what this side vouches for, for an `EpochClosed` record."""
+        """Return the spend per budget that this side certifies in an `EpochClosed` record."""
         budgets = sorted({b for lane in self._sums.values() for b in lane.tokens})
         return tuple(
             BudgetSpend(
@@ -162,8 +164,8 @@
     ----------
     epoch
         The epoch it may spend in.
-    witnessed
-        Whether the epoch has a witness. Without one, the whole grant is the holder's own.
+    has_witness
+        Whether the epoch has a witness. Without one, the whole grant is in the `OWN` lane.
     """
 
     def __init__(self, epoch: Epoch, *, witnessed: bool) -> None:
@@ -179,7 +181,7 @@
 
     @property
     def main_lane(self) -> Lane:
-        """The lane that requests draw on while all is well."""
+        """Lane that requests draw on in normal operation."""
         return Lane.WITNESSED if self.witnessed else Lane.OWN
 
     def limit_tokens(self, grant: Grant, lane: Lane) -> int:
@@ -206,9 +208,9 @@
         lane: Lane,
         owner: str = "",
     ) -> Reservation | None:
-        """Reserve tokens, or return None when the lane has no room.
+        """Reserve tokens, or return None when the lane has too few free tokens.
 
-        A witnessed reservation may be used only after `batch_acked` names it.
+        A witnessed reservation may be used only after `apply_answer` returns it.
         """
         if self.lost or bound_tokens > self.free_tokens(budget, grant, lane):
             return None
@@ -220,14 +222,14 @@
         return reservation
 
     def settle(self, number: int, used_tokens: int) -> Reservation | None:
-        """Settle a reservation; return it, or None when it is settled or unknown already."""
+        """Settle a reservation and return it, or None if it is unknown or already settled."""
         settlement = Settlement(number, used_tokens)
         reservation = self._settle(settlement)
         if reservation is None or reservation.lane is not Lane.WITNESSED:
             return reservation
         if reservation in self._unsent:
-            # The witness never hears of it, so that a batch's settlements are all of earlier
-            # batches and can be applied before its reservations.
+            # It is never sent, so the settlements in a batch belong to earlier batches and can be
+            # applied before its reservations.
             self._unsent.remove(reservation)
         else:
             self._unsent_settlements.append(settlement)
@@ -240,9 +242,9 @@
             self._unsent_posted.append(number)
 
     def take_batch(self) -> MirrorBatch | None:
-        """Return the batch to send next: the unanswered one again, else a new one, else None.
+        """Return the unanswered batch again, else a new one, or None if there is nothing to send.
 
-        One batch at a time: while it travels, newer reservations gather for the next one.
+        Only one batch is in flight at a time; newer reservations wait for the next one.
         """
         if self._sent is None and (self._unsent or self._unsent_settlements or self._unsent_posted):
             self._sent = MirrorBatch(
@@ -259,7 +261,7 @@
         return self._sent
 
     def batch_acked(self, number: int, answer: MirrorAnswer) -> tuple[Reservation, ...]:
-        """Take the witness's answer and return the reservations that may now be used."""
+        """Apply the answer to a batch and return the reservations that may now be used."""
         batch = self._sent
         if batch is None or batch.number != number:
             return ()
@@ -273,12 +275,12 @@
 
 
 class WitnessAccount(_Account):
-    """The witness's account of an epoch: what its holder may have spent.
+    """The witness's account of an epoch: what its holder has possibly spent.
 
     Parameters
     ----------
     epoch
-        The epoch it vouches for.
+        The epoch whose spend it certifies.
     """
 
     def __init__(self, epoch: Epoch) -> None:
@@ -290,13 +292,13 @@
         self._next_own_number = -1
 
     def mirror(self, batch: MirrorBatch, grants: dict[BudgetName, Grant]) -> MirrorAnswer | None:
-        """Acknowledge what fits of a batch; return None for a batch out of order.
+        """Acknowledge the reservations of a batch that fit; return None if it is out of order.
 
         Parameters
         ----------
         grants
-            The epoch's grants as this process has read them in the log. Older ones than the
-            holder's only make it acknowledge less.
+            The epoch's grants as this process has read them in the log. If they are older than
+            the holder's, fewer reservations are acknowledged.
         """
         if self.sealed:
             return MirrorAnswer(sealed=True)
@@ -304,7 +306,7 @@
             return self._last_answer
         if batch.number != self._last_batch + 1:
             return None
-        # Settlements first: the holder has given the room that they free to the reservations.
+        # Settlements first: the reservations of the batch may use the tokens that they free.
         for settlement in batch.settlements:
             self._settle(settlement)
         rejected = {r.number for r in batch.reservations if not self._acknowledge(r, grants)}
@@ -315,11 +317,11 @@
         return self._last_answer
 
     def seal(self) -> None:
-        """Acknowledge nothing any more. Only then may the epoch's rest be given to others."""
+        """Stop acknowledging. Only then may the epoch's unspent tokens be granted to others."""
         self.sealed = True
 
     def promote(self) -> None:
-        """Seal, and start to spend the epoch's promotion share; for when the log is out."""
+        """Seal the epoch and allow spending its promotion share, as the log is unreachable."""
         self.sealed = True
         self.promoted = True
 
@@ -340,7 +342,7 @@
         grant: Grant,
         owner: str = "",
     ) -> Reservation | None:
-        """Reserve from the promotion share, or return None when it has no room."""
+        """Reserve from the promotion share, or return None when too little of it is left."""
         if bound_tokens > self.free_own_tokens(budget, grant):
             return None
         reservation = Reservation(
@@ -351,7 +353,7 @@
         return reservation
 
     def settle(self, number: int, used_tokens: int) -> Reservation | None:
-        """Settle a reservation that its holder can no longer settle, or one of its own."""
+        """Settle a reservation that its holder can no longer settle, or one of this account."""
         return self._settle(Settlement(number, used_tokens))
 
     def posted(self, number: int) -> None:
--- a/mothstand/core/backoff.py
+++ b/mothstand/core/backoff.py
@@ -1,4 +1,4 @@
-"""Ever longer delays between tries of the same thing."""
+"""Exponential backoff between attempts."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 @dataclass(slots=True)
 class Backoff:
-    """Delays that double, up to a most.
+    """Delays that double with each attempt, up to a maximum.
 
     Parameters
     ----------
-    first_s, most_s
-        The first delay, and the longest.
-    tries
-        How many delays have been taken since the start or the last `reset`.
+    first_s, max_s
+        The first and the longest delay.
+    attempts
+        Number of delays returned since the start or the last `reset`.
     """
 
     first_s: float
@@ -23,15 +23,15 @@
     tries: int = 0
 
     def next_s(self) -> float:
-        """Return the delay before the next try, and count it."""
+        """Return the delay before the next attempt, and count the attempt."""
         delay_s = min(self.most_s, self.first_s * 2 ** min(self.tries, _MOST_DOUBLINGS))
         self.tries += 1
         return delay_s
 
     def jittered_s(self) -> float:
-        """Return a delay of half to one and a half times `next_s`.
+        """Return `next_s` multiplied by a random factor from 0.5 to 1.5.
 
-        After an outage all instances would otherwise come back to what recovers in step.
+        Without jitter, all instances would retry at the same moments after an outage.
         """
         return self.next_s() * random.uniform(0.5, 1.5)
 
@@ -40,5 +40,5 @@
         self.tries = 0
 
 
-#: More than any delay needs; keeps the power from growing without end.
+#: More doublings than any delay needs; bounds the power of two.
 _MOST_DOUBLINGS = 30
--- a/mothstand/core/bills.py
+++ b/mothstand/core/bills.py
@@ -1,4 +1,4 @@
-"""The fold of the ``bills`` stream: what each budget was billed, each request once."""
+"""Fold of the ``bills`` stream: totals billed to each budget, with each request counted once."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True)
 class Billed:
-    """Sums of one budget."""
+    """Totals billed to one budget."""
 
     tokens: int = 0
     requests: int = 0
@@ -20,10 +20,10 @@
 
 
 class BillFold:
-    """First bill of a request wins.
+    """Applies the first bill of each request and drops later ones.
 
-    A bill is posted by the instance that ran the request and, when that died, by the leaseholder
-    or its witness; the three cannot agree who does, so the request's id decides.
+    The instance that ran a request posts its bill or, if that instance died, the leaseholder or
+    its witness does. They cannot coordinate, so duplicates are detected by request id.
     """
 
     def __init__(self) -> None:
@@ -32,7 +32,7 @@
         self.dropped = 0
 
     def apply(self, _offset: int, record: BillsPosted) -> None:
-        """Apply the record."""
+        """Add the lines of a record to the totals."""
         for line in record.lines:
             if line.request_id in self.lines:
                 self.dropped += 1
--- a/mothstand/core/burst_shares.py
+++ b/mothstand/core/burst_shares.py
@@ -1,18 +1,18 @@
-"""Which part of the fleet's burst of retries an instance may use.
+"""The part of the fleet's retry burst that one instance may use.
 
-The load that this answers: instances that start, end, and lose sight of each other while all of
-them retry as often as they may. The parts of those that use one must never add up to more than the
-burst, also within a window, whatever each of them believes; and nobody is asked before a retry.
+Instances start, stop and lose contact while all of them retry at their limits. The parts in use
+must never add up to more than the burst within any window, whatever each instance's view of the
+fleet, and a retry must not wait for a call to another instance.
 
-Instances read each other's announcements in the order of one stream. Each uses one part in as many
-as it has read to be announced, and only while
+Instances read each other's announcements in the order of one stream. Each divides the burst by the
+number of announced instances, and uses its part only while
 
-- all that may use a part have read its own announcement, and the window is over in which they used
-  the larger parts of before: `SharerNotice.read_to` says what was read;
-- a window has passed since its start, if an earlier start of it may have used its part;
-- its lease lasts, which its latest announcement began.
+- all instances that may use a part have read its announcement (`SharerNotice.read_to`), and the
+  window has ended in which they used their earlier, larger parts;
+- a window has passed since its start, if an earlier start of it has possibly used its part;
+- its lease, which began with its latest announcement, has not expired.
 
-A name leaves the fleet by a record of the same stream, once nobody can use its part any more.
+A record of the same stream removes a name once no process can use its part any more.
 """
 
 from __future__ import annotations
@@ -20,23 +20,23 @@
 import math
 from dataclasses import dataclass, field
 
-#: Intervals between announcements that a lease lasts.
+#: Length of a lease, in intervals between announcements.
 _LEASE_ANNOUNCEMENTS = 4.0
 
 
 @dataclass(frozen=True, slots=True)
 class SharerNotice:
-    """What an announcement says about its writer's part of the burst.
+    """The fields of an announcement that concern its writer's part of the burst.
 
     Parameters
     ----------
     read_to
         Offset before which its writer had read all announcements.
     lease_s
-        For how long after it its writer may use its part.
+        Time after the announcement during which its writer may use its part.
     may_have_used
-        Whether its writer may have used its part before it read the last of these; so all that use
-        a part know its name.
+        Whether its writer has possibly used its part before it had read up to `read_to`. If so,
+        all instances that use a part have read its name.
     """
 
     read_to: int
@@ -46,13 +46,13 @@
 
 @dataclass(slots=True)
 class _Sharer:
-    """Another instance, as it was seen last.
+    """Another instance, by its latest announcement.
 
     Parameters
     ----------
-    counts_me_from_s
-        From when on no window has a larger part that it used before it knew of this instance; None
-        before it has read this instance's announcement.
+    counts_local_from_s
+        Time from which no window contains a larger part that it used before it counted this
+        instance; None until it has read this instance's announcement.
     """
 
     seen_s: float
@@ -67,9 +67,9 @@
     Parameters
     ----------
     name, incarnation
-        This instance, and this start of it.
+        Name of this instance, and id of this start of it.
     span_s
-        Window of the retry budget, and the time that a retry may need to arrive.
+        Window of the retry budget plus the longest delivery time of a retry.
     started_s
         When this process began.
     """
@@ -89,7 +89,7 @@
     def note(
         self, name: str, incarnation: str, notice: SharerNotice, offset: int, now_s: float
     ) -> None:
-        """Take an announcement."""
+        """Apply an announcement of any instance, this one included."""
         if name == self.name:
             self._note_own(incarnation, notice, offset)
             return
@@ -99,26 +99,26 @@
         self._note_what_it_read(sharer, now_s)
 
     def retire(self, name: str) -> None:
-        """Take the record by which a name leaves the fleet."""
+        """Apply the record that removes a name from the fleet."""
         self._others.pop(name, None)
         if name == self.name:
-            # The others no longer count this instance; it begins anew with its next announcement.
+            # The other instances no longer count this one; its next announcement counts as its
+            # first.
             self._offset = None
             self._is_known = False
             for sharer in self._others.values():
                 sharer.counts_me_from_s = None
 
     def keep_only(self, names: set[str]) -> None:
-        """Take a listing of all names in place of what was read one by one."""
+        """Retire all names that are missing from a complete listing."""
         for name in {*self._others, self.name} - names:
             self.retire(name)
 
     def read(self, read_to: int, now_s: float, announce_s: float) -> None:
         """Note that all records before an offset have been read.
 
-        Notes
-        -----
-        After a gap in reading, others may have been unable to announce themselves as well.
+        After a gap in reading, all names count as seen now: other instances have possibly been
+        unable to announce themselves during the gap.
         """
         if now_s - self._read_s > 2 * announce_s:
             for sharer in self._others.values():
@@ -127,22 +127,22 @@
         self._read_s = now_s
 
     def notice(self, announce_s: float) -> SharerNotice:
-        """Return what the next announcement says."""
+        """Return the notice for the next announcement."""
         return SharerNotice(self._read_to, _LEASE_ANNOUNCEMENTS * announce_s, self._is_known)
 
     def must_follow(self, now_s: float) -> bool:
-        """Return whether the next announcement must come right after the last record read.
+        """Return whether the next announcement must directly follow the last record read.
 
-        With its lease this instance may have lost its place, by a record that it has not read yet.
+        Once the lease has expired, an unread record has possibly removed this instance's name.
         """
         return self._offset is not None and now_s >= self._leased_until_s
 
     def announced(self, notice: SharerNotice, began_s: float) -> None:
-        """Note that the store has taken an announcement, whose append began then."""
+        """Note that the store accepted an announcement whose append began at `began_s`."""
         self._leased_until_s = began_s + notice.lease_s
 
     def silent(self, now_s: float) -> list[str]:
-        """Return the names whose leases, and the windows after these, are over."""
+        """Return the names whose lease and the window after it have ended."""
         return [
             name
             for name, sharer in self._others.items()
@@ -150,7 +150,7 @@
         ]
 
     def sharers(self, now_s: float) -> int:
-        """Return in how many parts the burst is divided, 0 while none may be used here."""
+        """Return the number of parts of the burst, or 0 while this instance may use none."""
         self._look_who_counts_me(now_s)
         if not self._is_known or now_s < self._waits_until_s or now_s >= self._leased_until_s:
             return 0
@@ -161,14 +161,15 @@
             if self._offset is None:
                 self._offset = offset
         elif self._offset is None:
-            # Whoever knew the earlier start counts this one; its retries may still be on their way.
+            # Instances that counted the earlier start count this one too. Retries of the earlier
+            # start are possibly still in flight.
             self._is_known = self._is_known or notice.may_have_used
             self._waits_until_s = self.started_s + self.span_s
 
     def _note_what_it_read(self, sharer: _Sharer, now_s: float) -> None:
         has_read = self._offset is not None and sharer.notice.read_to > self._offset
         if has_read and sharer.counts_me_from_s is None:
-            # What has no part yet has used none that was larger.
+            # A sharer that has not used a part yet has used no larger one.
             wait_s = self.span_s if sharer.notice.may_have_used else 0.0
             sharer.counts_me_from_s = now_s + wait_s
 
--- a/mothstand/core/claim_policy.py
+++ b/mothstand/core/claim_policy.py
@@ -1,9 +1,9 @@
-"""How much of each budget an instance claims: ahead of demand, and fairly where it is short.
+"""Policy for how much of each budget an instance claims.
 
-The load that this answers: every instance loses the store for eight to nine seconds at a time,
-several times in a minute, while its callers go on; callers are spread unevenly and one workspace
-may send several times its usual for some seconds. What an instance holds when the store goes
-silent decides what it can serve.
+Every instance loses the store for eight to nine seconds at a time, several times a minute, while
+its callers continue to send. Callers are spread unevenly, and one workspace may send several times
+its usual load for some seconds. An instance can serve only what it holds when the store becomes
+unreachable, so it claims ahead of demand, and only its share where a budget is short.
 """
 
 from __future__ import annotations
@@ -18,33 +18,36 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimPolicy:
-    """Constants of the decision.
+    """Constants of the claim policy.
 
     Parameters
     ----------
     ride_through_s
-        Seconds of one's own demand to hold; above the longest usual outage of the store.
+        Seconds of own demand to hold; above the longest usual outage of the store.
     spare_requests
-        Largest requests to hold on top, so that chance does not refuse the first ones.
+        Number of largest requests to hold in addition, so that random variation does not refuse
+        the first ones.
     held_share
-        Part of what is left of a budget that the fleet holds at most: the rest can be claimed at
-        once where it is wanted.
+        Maximum part of the remaining tokens that the fleet holds. The rest can be claimed at once
+        where it is needed.
     window_share
-        Part of what is left that the fleet's windows exceed its use by at most: what is served
-        with until an outage has lasted `renewals.UNLOCK_S`. Four seconds of the usual demand
-        while two thirds of a budget are left.
+        Maximum part of the remaining tokens by which the fleet's windows exceed its usage. Requests
+        are served from the windows until an outage has lasted `renewals.UNLOCK_S`. The value is
+        four seconds of the usual demand while two thirds of a budget remain.
     base_share, base_s
-        Part of what is left that the fleet's bases exceed its use by, or these seconds of one's
-        own demand if that is more: what is spent between two looks at the store. All of it is
-        lost when all die at once, and of the windows as much as had opened meanwhile.
-    start_s
-        Before any demand was seen, a budget is taken to last this long, spread evenly.
-    lull_share
-        Part of that demand that is held for later on, however little is asked now.
+        Part of the remaining tokens by which the fleet's bases exceed its usage, or this many
+        seconds of own demand if that is more: what is spent between two polls of the store. All of
+        it is lost when all instances die at once, and the opened part of the windows too.
+    initial_lifetime_s
+        Before any demand was seen, a budget is assumed to last this long, with its demand spread
+        evenly over the instances.
+    min_demand_share
+        Part of that initial demand for which tokens are always held, also at lower demand.
     slack
-        Part of the target that may be missing or in excess before a claim is written: fewer calls.
-    silent_after_s
-        A holder whose claims have not changed for this long counts as gone for fair shares.
+        Part of the target that may be missing or in excess before a claim is written, to save
+        calls.
+    stale_after_s
+        A holder whose claims have not changed for this long is ignored in fair shares.
     """
 
     ride_through_s: float = 10.0
@@ -61,18 +64,18 @@
 
 @dataclass(frozen=True, slots=True)
 class BudgetView:
-    """What the decision for one budget looks at.
+    """Inputs of the claim policy for one budget.
 
     Parameters
     ----------
     waiting_tokens
-        Bounds of requests that wait for tokens now.
+        Sum of the bounds of requests that wait for tokens now.
     demand_tokens_per_s
         Own demand.
-    others
-        Demand of the other holders that live, as they last said.
-    others_unspent_tokens
-        What those hold, as they last said.
+    other_demands_tokens_per_s
+        Demand of the other live holders, from their latest claims.
+    other_holders_unspent_tokens
+        Unspent tokens of those holders, from their latest claims.
     """
 
     prepaid_tokens: int
@@ -100,7 +103,7 @@
     now_s: float,
     policy: ClaimPolicy,
 ) -> BudgetView:
-    """Return what the decision looks at, from the table and one's own books."""
+    """Return the inputs of the policy, from the claim table and this instance's own state."""
     live = [
         claim
         for holder, claim in table.claims[held.budget].items()
@@ -126,9 +129,9 @@
 
     Notes
     -----
-    The target is `ride_through_s` of own demand, but no more than one's share, by demand, of all
-    that is left. Near a budget's end the shares shrink with it; a rest that is too small for a
-    request is moved to where it is wanted between instances, not through the store.
+    The target is `ride_through_s` of own demand, limited to this instance's share, by demand, of
+    the remaining tokens. Near a budget's end the shares shrink with it; remainders too small for a
+    request are moved between instances by loans, not through the store.
     """
     target = _target_tokens(view, policy)
     missing = max(target - view.held_tokens, view.waiting_tokens - view.held_tokens)
@@ -137,15 +140,15 @@
         return view.limit_tokens + int(raised) if raised >= 1 else None
     excess = view.held_tokens - target
     if excess > policy.slack * target + view.largest_tokens:
-        # Not below nothing: what was borrowed stays with the borrower. Windows have no room for a
-        # debt, so a negative claim would let it spend what it has given up.
+        # Not below 0: borrowed tokens stay with the borrower. Windows cannot be negative, so a
+        # negative claim would let the borrower spend tokens that it has given up.
         return max(0, view.limit_tokens - int(excess))
     return None
 
 
 @dataclass(frozen=True, slots=True)
 class Window:
-    """What a claim's holder may spend of it before an outage has lasted for long."""
+    """Tokens of a claim that may be spent before an outage has lasted `renewals.UNLOCK_S`."""
 
     base_tokens: int
     window_tokens: int
@@ -176,7 +179,7 @@
 
 
 def _least_demand(view: BudgetView, policy: ClaimPolicy) -> float:
-    """Return the least demand that is held for: a lull may end inside an outage."""
+    """Return the minimum demand to hold tokens for: demand may rise again during an outage."""
     usual = view.prepaid_tokens / policy.start_s / max(1, view.instances)
     asked = view.demand_tokens_per_s + sum(view.others) > 0
     return policy.lull_share * usual if asked else usual
@@ -189,10 +192,10 @@
     total = mine + sum(view.others)
     if total <= 0:
         return 1 / instances
-    # An instance without callers now may get them with the next connection.
+    # An instance without callers may get some with the next connection.
     mine = max(mine, _IDLE_SHARE * total / instances)
     return min(1.0, mine / total)
 
 
-#: What an instance without callers counts for, as a part of an equal share.
+#: Minimum weight of an instance's demand, as a part of an equal share.
 _IDLE_SHARE = 0.1
--- a/mothstand/core/claims.py
+++ b/mothstand/core/claims.py
@@ -1,11 +1,11 @@
-"""Claims on prepaid budgets: what instances may spend, kept exact by conditional appends.
-
-A claim says how many tokens of a budget one process may have consumed at most, from its start on.
-A process writes its claims to a keyed stream of the platform's store, each time under the
-condition that it has read the stream to its end, and only if all claims of a budget still fit
-into what was paid. So every record fitted when it was written, nothing is rejected afterwards,
-and the newest record of each key is the whole state. No clock, leader or belief about who is
-alive takes part: a process that was paused or cut off fails the condition.
+"""Claims on prepaid budgets, which limit what each process may spend.
+
+A claim is the maximum number of tokens of a budget that one process consumes in its lifetime. A
+process writes its claims to a keyed stream of the platform's store. Each append is conditional on
+having read the stream to its end, and is sent only if all claims of a budget still fit into the
+prepaid tokens. So every record fitted when it was written, none is rejected afterwards, and the
+newest record of each key is the complete state. This depends on no clock, leader or liveness: the
+append of a process that was paused or disconnected fails its condition.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class Holder(NamedTuple):
-    """One process that holds claims: its instance's name and the id of this start of it."""
+    """A process that holds claims: its instance's name and the id of this start of it."""
 
     instance: str
     incarnation: str
@@ -29,23 +29,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """What a holder may consume of a budget, and its word on what it does with it.
+    """The tokens of a budget that a holder may consume, and the usage that it reports.
 
     Parameters
     ----------
     claimed_tokens
-        The most that the holder consumes in its life, transfers to others included.
+        Maximum that the holder consumes in its lifetime, including transfers to other instances.
     base_tokens
-        The most of these that it consumes while in touch with the store.
+        Maximum of these that it consumes while it reaches the store.
     window_tokens
-        The most of these that it consumes before it has been out of touch with the store for
+        Maximum of these that it consumes before the store has been unreachable for
         `renewals.UNLOCK_S`; between base and window the limit grows with that time.
     spent_tokens
-        Consumed by requests that have ended, as of the record; it only grows.
+        Consumed by requests that have ended, as of the record; it never decreases.
     demand_tokens_per_s
-        What callers asked of it lately.
+        Recent demand of the holder's callers.
     held_tokens
-        What it has left of the claim, as of the record, for others to know whom to ask for a loan.
+        Unused tokens of the claim, as of the record; used to choose an instance to borrow from.
     """
 
     budget: BudgetName
@@ -58,7 +58,7 @@
     held_tokens: int = 0
 
     def limit_tokens(self, opening: Opening) -> int:
-        """Return the most that its holder consumes up to an opening."""
+        """Return the maximum that its holder consumes under an opening."""
         return opening.limit_tokens(
             claimed=self.claimed_tokens, window=self.window_tokens, base=self.base_tokens
         )
@@ -71,9 +71,9 @@
     Parameters
     ----------
     next_offset
-        Where to read on, and the condition of the next append.
-    read_at_s
-        When the claim of a holder was last seen to change, on this process's clock.
+        Offset to read from next, and the condition of the next append.
+    changed_at_s
+        When a claim of a holder was last seen to change, on this process's clock.
     """
 
     next_offset: int = 0
@@ -81,44 +81,44 @@
     read_at_s: dict[Holder, float] = field(default_factory=dict)
 
     def put(self, claim: Claim, now_s: float) -> None:
-        """Take a later claim of its holder."""
+        """Replace the holder's claim by a later one."""
         self.claims[claim.budget][claim.holder] = claim
         self.read_at_s[claim.holder] = now_s
 
     def claimed_tokens(self, budget: BudgetName) -> int:
-        """Return what all holders of a budget may consume."""
+        """Return the sum of all claims on a budget."""
         return sum(c.claimed_tokens for c in self.claims[budget].values())
 
     def claim(self, budget: BudgetName, holder: Holder) -> Claim:
-        """Return the claim of one holder, one of nothing if it has none."""
+        """Return the claim of one holder, or a claim of 0 tokens if it has none."""
         written = self.claims[budget].get(holder)
         return written or Claim(budget, holder, 0, 0, 0, 0, 0.0)
 
 
 @dataclass(frozen=True, slots=True)
 class Usage:
-    """What a request that has ended consumed of its budget.
+    """Usage of a request that has ended.
 
     Parameters
     ----------
-    most_tokens
-        What it may have consumed; so much is never given to another request.
-    sure_tokens
-        What it surely did. An upstream that got a request and showed no event of an answer may
-        have begun to run it or not, and nobody can tell later.
+    max_tokens
+        Possibly consumed; these tokens are never given to another request.
+    confirmed_tokens
+        Certainly consumed. If an upstream received a request and sent no event of an answer, it
+        cannot be determined whether the request ran.
     """
 
     most_tokens: int
     sure_tokens: int
 
 
-#: Of a request that did not run.
+#: Usage of a request that did not run.
 UNUSED = Usage(0, 0)
 
 
 @dataclass(slots=True)
 class Reservation:
-    """Tokens set aside for one running request, at its most."""
+    """Tokens set aside for one running request, by the upper bound of its usage."""
 
     budget: BudgetName
     tokens: int
@@ -127,26 +127,26 @@
 
 @dataclass(slots=True)
 class HeldBudget:
-    """What this process holds of one budget.
+    """The tokens of one budget that this process holds and uses.
 
     Parameters
     ----------
     limit_tokens, window_tokens, base_tokens
-        Claim, window and base that are surely in the store; where an append's fate is unknown,
-        the lowest that may be.
+        Confirmed claim, window and base in the store; while an append is unconfirmed, the lowest
+        possible values.
     opening
         How much of these may be spent now.
     received_tokens, given_tokens
         Moved from and to other instances, without a change of the claims in the store.
     borrowed_spent_tokens
-        Spent while this process claimed nothing itself; its lenders write that for it.
-    untold_tokens
-        Of these, what no lender has been told.
-    heard_spent_tokens
-        Spent by borrowers, by their own word.
-    doubtful_tokens
-        Of what is counted as spent here, what may not have been consumed. It is never written as
-        spent, nor told to lenders: a refusal that says a budget is used up rests on what is.
+        Spent while this process had no claim of its own; its lenders write them as spent.
+    unreported_borrowed_tokens
+        The part of `borrowed_spent_tokens` that no lender has received a report of.
+    borrowers_spent_tokens
+        Spent by borrowers, as reported by them.
+    uncertain_tokens
+        The part of `spent_tokens` that was possibly not consumed. It is neither written as spent
+        nor reported to lenders, because a refusal for a used-up budget relies on that sum.
     """
 
     budget: BudgetName
@@ -165,13 +165,13 @@
 
     @property
     def recorded_spent_tokens(self) -> int:
-        """What this process writes as spent; summed over all claims it is never too much."""
+        """Tokens to write as spent; their sum over all claims never exceeds the true usage."""
         own = self.spent_tokens - self.doubtful_tokens - self.borrowed_spent_tokens
         return own + self.heard_spent_tokens
 
     @property
     def available_tokens(self) -> int:
-        """What may still be reserved now."""
+        """Tokens that may still be reserved now."""
         limit = self.opening.limit_tokens(
             claimed=self.limit_tokens, window=self.window_tokens, base=self.base_tokens
         )
@@ -179,24 +179,24 @@
 
     @property
     def held_tokens(self) -> int:
-        """What is claimed and not used, whether or not it may be reserved now."""
+        """Claimed and unused tokens, whether or not they may be reserved now."""
         return self.limit_tokens - self.needed_claim_tokens
 
     @property
     def needed_claim_tokens(self) -> int:
-        """The least claim that covers what was done already."""
+        """Minimum claim that covers all usage, reservations and transfers up to now."""
         used = self.spent_tokens + self.reserved_tokens + self.given_tokens
         return used - self.received_tokens
 
     def reserve(self, tokens: int, *, kept_tokens: int = 0) -> Reservation | None:
-        """Set tokens aside, or return None if they do not fit beside what is kept for others."""
+        """Set tokens aside, or return None if fewer are available after the withheld ones."""
         if tokens > self.available_tokens - kept_tokens:
             return None
         self.reserved_tokens += tokens
         return Reservation(self.budget, tokens)
 
     def settle(self, reservation: Reservation, usage: Usage) -> int:
-        """End a reservation, return what it surely spent; a second call changes nothing."""
+        """End a reservation and return its confirmed spend; a second call changes nothing."""
         if not reservation.open:
             return 0
         reservation.open = False
@@ -208,29 +208,29 @@
         return sure
 
     def spend_borrowed(self, tokens: int) -> None:
-        """Note that of what was settled just now tokens came from lenders."""
+        """Note that some of the tokens just settled were borrowed."""
         self.borrowed_spent_tokens += tokens
         self.untold_tokens += tokens
 
     def give(self, tokens: int) -> int:
-        """Take up to `tokens` out for another instance, and return how many."""
+        """Give up to `tokens` to another instance, and return how many."""
         given = max(0, min(tokens, self.available_tokens))
         self.given_tokens += given
         return given
 
     def receive(self, tokens: int) -> None:
-        """Add tokens that another instance has taken out."""
+        """Add tokens that another instance has given."""
         self.received_tokens += tokens
 
 
 @dataclass(frozen=True, slots=True)
 class DoubtfulAppend:
-    """An append without an answer: its claims are in the store, or may get there late.
+    """An append without an answer: its claims are in the store or may still arrive there.
 
     Parameters
     ----------
-    at_offset
-        The condition it was sent under; once the stream has grown past it, it is decided.
+    condition_offset
+        The condition of the append. Once the stream has been read past it, the outcome is known.
     """
 
     at_offset: int
@@ -239,13 +239,13 @@
 
 @dataclass(slots=True)
 class ClaimBook:
-    """The claims of one shard together with what this process holds of them.
+    """The claims of one shard of budgets, and the tokens of them that this process holds.
 
     Notes
     -----
-    The dangerous append is a lowered claim whose answer is lost: the tokens may be another's
-    already, or become so seconds later. Spending up to the claim last read would overspend, so
-    the lowest doubtful claim binds until a later record proves the append's fate.
+    If the answer to an append that lowers a claim is lost, another process has possibly claimed
+    the tokens, or may do so seconds later. Spending up to the claim last read would overspend, so
+    the lowest unconfirmed claim is the limit until a later record shows the append's outcome.
     """
 
     me: Holder
@@ -255,19 +255,19 @@
     doubts: list[DoubtfulAppend] = field(default_factory=list)
 
     def of(self, budget: BudgetName) -> HeldBudget:
-        """Return what is held of a budget."""
+        """Return the state of a budget, created on first use."""
         if budget not in self.held:
             self.held[budget] = HeldBudget(budget, opening=self.opening)
         return self.held[budget]
 
     def took(self, next_offset: int) -> None:
-        """Note that the table shows the stream up to an offset."""
+        """Note that the table contains all records before an offset."""
         self.table.next_offset = max(self.table.next_offset, next_offset)
         self.doubts = [d for d in self.doubts if d.at_offset >= self.table.next_offset]
         self._settle_limits()
 
     def begin(self, claims: tuple[Claim, ...]) -> DoubtfulAppend:
-        """Note an append that is about to be sent; lowered claims bind from now on."""
+        """Note an append that is about to be sent; lowered claims apply from now on."""
         doubt = DoubtfulAppend(
             self.table.next_offset, {c.budget: c for c in claims if c.holder == self.me}
         )
@@ -276,12 +276,12 @@
         return doubt
 
     def rejected(self, doubt: DoubtfulAppend) -> None:
-        """Note that an append was surely not done."""
+        """Note that an append was certainly not done."""
         self.doubts = [d for d in self.doubts if d is not doubt]
         self._settle_limits()
 
     def fits(self, claims: tuple[Claim, ...], prepaid_tokens: dict[BudgetName, int]) -> bool:
-        """Return whether raised claims still fit into what was paid."""
+        """Return whether raised claims still fit into the prepaid tokens."""
         for claim in claims:
             before = self.table.claim(claim.budget, claim.holder).claimed_tokens
             total = self.table.claimed_tokens(claim.budget) - before + claim.claimed_tokens
@@ -299,10 +299,10 @@
             held.base_tokens = min(claim.base_tokens for claim in claims)
 
     def covers(self, claims: tuple[Claim, ...]) -> bool:
-        """Return whether bases cover all that was used, once claims are written.
+        """Return whether the bases cover all usage, once `claims` are written.
 
-        A renewal says that no more than the bases was used. One that is written while more was
-        used, as after an outage, would let a successor give back tokens that are spent.
+        A renewal states that usage is within the bases. If one were written while usage exceeds
+        them, as after an outage, a successor would give back tokens that are spent.
         """
         bases = {c.budget: c.base_tokens for c in claims if c.holder == self.me}
         return all(
@@ -312,7 +312,7 @@
         )
 
     def open(self, opening: Opening) -> None:
-        """Allow to spend as much of all claims as an opening says."""
+        """Set how much of all claims may be spent."""
         self.opening = opening
         for held in self.held.values():
             held.opening = opening
--- a/mothstand/core/demand.py
+++ b/mothstand/core/demand.py
@@ -1,24 +1,24 @@
-"""How many tokens callers ask for, as a moving average."""
+"""Moving average of the tokens that callers request."""
 
 from __future__ import annotations
 
 import math
 from dataclasses import dataclass
 
-#: Time constant of the demand's moving average: a workspace's jump shows within seconds, and a
-#: single large request does not pass for one.
+#: Time constant of the moving average. A jump in a workspace's demand shows within seconds, and a
+#: single large request does not look like a jump.
 DEMAND_WINDOW_S = 4.0
 
-#: Weight of the latest request in the mean size: the last twenty count.
+#: Weight of the latest request in the mean size, which covers about the last twenty requests.
 _LATEST_WEIGHT = 0.05
 
-#: Least time over which the first requests are spread: one alone says little of the demand.
+#: Minimum time over which the first requests are averaged, as one alone says little about demand.
 _LEAST_SEEN_S = 1.0
 
 
 @dataclass(slots=True)
 class Demand:
-    """What callers of one budget ask of this instance.
+    """Demand on one budget at this instance.
 
     Parameters
     ----------
@@ -27,10 +27,10 @@
 
     Notes
     -----
-    An exponential moving average, divided by the weight of the time since the first request.
-    Without that the first seconds' demand is taken for a fraction of what it is, and an outage
-    that begins then is not held for: of 1,435 requests around an outage of 8 s that began 4 s
-    after the first one 133 were refused, and none with it (64 instances in virtual time).
+    The rate is an exponential moving average, divided by the weight of the time since the first
+    request. Without that division, demand is underestimated in the first seconds and too little is
+    held for an outage that begins then: of 1,435 requests around an outage of 8 s that began 4 s
+    after the first request, 133 were refused, and with it none (64 instances in virtual time).
     """
 
     largest_tokens: int = 0
@@ -49,7 +49,7 @@
         self._first_s = min(self._first_s, now_s)
 
     def rate(self, now_s: float) -> float:
-        """Return the demand as of now."""
+        """Return the demand at `now_s`."""
         if not self._average:
             return 0.0
         seen_s = max(_LEAST_SEEN_S, now_s - self._first_s)
--- a/mothstand/core/escrow.py
+++ b/mothstand/core/escrow.py
@@ -1,8 +1,7 @@
-"""How much escrow a leaseholder asks for, and how much of it it gives back.
+"""Policy for how much escrow a leaseholder asks for and returns.
 
-What a data centre holds is what it can go on spending while the platform is out, and what is out
-of others' reach meanwhile. The one figure to choose is the ride-through; see
-``docs/design/budgets.md``.
+A data centre can spend its escrow while the platform is unreachable, and meanwhile no other data
+centre can. The ride-through time sets this trade-off; see ``docs/design/budgets.md``.
 """
 
 from __future__ import annotations
@@ -30,16 +29,16 @@
     refill_below_percent
         Ask again when less than this share of the target is left.
     end_share_percent
-        Never ask for more than this share of what is ungranted, divided by the number of data
-        centres; so that grants shrink as a budget nears its end.
+        Maximum share of the ungranted tokens to ask for, divided by the number of data centres,
+        so that grants shrink as a budget nears its end.
     allowance_percent
         Share of a grant that may be spent while the witness does not answer; it is stranded if
-        the holder then dies. 0 refuses instead.
+        the holder then dies. At 0, requests are refused instead.
     promotion_percent
-        Share of a grant that the witness may spend by itself when holder and platform are both
-        gone; it is stranded when the witness dies first.
+        Share of a grant that the witness may spend by itself while both holder and platform are
+        unreachable; it is stranded if the witness dies first.
     unwitnessed_percent
-        Share of the target asked for in an epoch without a witness, all of which a crash strands.
+        Share of the target to ask for in an epoch without a witness; a crash strands all of it.
     demand_window_s
         Time constant of the demand estimate.
     """
@@ -59,7 +58,7 @@
     Parameters
     ----------
     window_s
-        Time constant: spend older than a few of these no longer counts.
+        Time constant; spend older than a few of them has almost no weight.
     """
 
     __slots__ = ("_at_s", "_tokens", "_window_s", "largest_tokens")
@@ -71,16 +70,16 @@
         self.largest_tokens = 0
 
     def add(self, used_tokens: int, now_s: float) -> None:
-        """Count a request's usage at `now_s`."""
+        """Add a request's usage at `now_s`."""
         self._decay(now_s)
         self._tokens += used_tokens
 
     def note_bound(self, bound_tokens: int) -> None:
-        """Note a request's upper bound, which is held while it runs but mostly not spent."""
+        """Note a request's upper bound, which is reserved while it runs but mostly not spent."""
         self.largest_tokens = max(self.largest_tokens, bound_tokens)
 
     def rate_tokens_per_s(self, now_s: float) -> float:
-        """Return the estimated demand."""
+        """Return the estimated spend rate."""
         self._decay(now_s)
         return self._tokens / self._window_s
 
@@ -92,16 +91,16 @@
 
 @dataclass(frozen=True, slots=True)
 class EscrowView:
-    """What the policy looks at for one budget, in tokens.
+    """Inputs of the escrow policy for one budget, in tokens.
 
     Parameters
     ----------
     free_tokens
-        Left of this epoch's grant.
+        Unspent and unreserved tokens of this epoch's grant.
     ungranted_tokens
-        Paid and in no epoch's hands.
+        Paid and not granted to any epoch.
     needed_tokens
-        Asked for by requests that wait right now.
+        Needed by requests that wait now.
     """
 
     free_tokens: int
@@ -114,11 +113,12 @@
 
 
 def target_tokens(policy: EscrowPolicy, view: EscrowView) -> int:
-    """Return how much the epoch should hold free."""
+    """Return how many free tokens the epoch should hold."""
     target = view.rate_tokens_per_s * policy.ride_through_s
     if not view.witnessed:
         target = target * policy.unwitnessed_percent / 100
-    # Room for a handful of the largest requests, lest a quiet budget asks for each one.
+    # Enough for a few of the largest requests; otherwise a budget with little demand would ask
+    # for escrow with every request.
     return int(max(target, _HANDFUL * view.largest_tokens))
 
 
@@ -127,8 +127,8 @@
 
     Parameters
     ----------
-    along
-        Whether the ask would share the append of another budget's, and so costs none.
+    shares_append
+        Whether the ask would share another budget's append and so need none of its own.
     """
     target = target_tokens(policy, view)
     short = view.needed_tokens - view.free_tokens
@@ -139,19 +139,18 @@
     handful = _HANDFUL * view.largest_tokens
     wanted = min(target - view.free_tokens, max(share, min(view.ungranted_tokens, handful)))
     if short <= 0 and not along and wanted * _SMALL_REFILL < min(view.free_tokens, target // 2):
-        # Near the end the target is out of reach, and asking for a little less each time would
-        # cost an append for nearly every request.
+        # Near the budget's end the target cannot be reached, and asking for ever smaller amounts
+        # would cost an append for nearly every request.
         return 0
-    # What waits now is asked for in full: the fold grants no more than there is.
+    # Waiting requests are asked for in full: the fold grants no more than is ungranted.
     return max(wanted, short, 0)
 
 
 def promotion_share_tokens(percent: int, granted_tokens: int, largest_tokens: int) -> int:
-    """Return how much of a grant its witness may spend alone, in all.
+    """Return the total tokens of a grant that its witness may spend alone.
 
-    Notes
-    -----
-    A share below a few requests would be held back for nothing: it could not serve even one.
+    The share is at least a few large requests, within a quarter of the grant: tokens withheld in a
+    share below one request could not be used.
     """
     if percent == 0:
         return 0
@@ -160,26 +159,23 @@
 
 
 def gives_way(budget: BudgetName, here: DataCentre, waiting: Iterable[DataCentre]) -> bool:
-    """Return whether a data centre that waits for escrow itself should give all it has free.
+    """Return whether a data centre that waits for escrow should return all its free tokens.
 
-    Notes
-    -----
-    At a budget's end each data centre may hold a rest too small for its next request, while the
-    rests together would do. Were each to keep its own, nobody could spend them. So all but one
-    give way; the budget's name decides who, so that all decide alike.
+    At a budget's end each data centre may hold too few tokens for its next request, although their
+    sum would be enough. So all waiting data centres but one return theirs. The budget's name
+    determines which one, so all data centres decide alike.
     """
     order = rank(waiting, budget)
     return here in order and here != order[0]
 
 
 def surplus_tokens(policy: EscrowPolicy, view: EscrowView, unmet_tokens: int) -> int:
-    """Return how many free tokens to give back for another data centre's unmet ask.
+    """Return how many free tokens to return for another data centre's unfulfilled ask.
 
-    Notes
-    -----
-    Half of what is free after the demand of the next seconds: two data centres that give back at
-    once leave each other with something. Not just what is asked for, which is what waits right
-    now: moving costs a second and two appends, too much for one request at a time.
+    The result is half of the free tokens beyond the demand of the next seconds, so that two data
+    centres that return tokens at the same time both keep some. It is not limited to the ask, which
+    covers only the requests that wait now: a move takes a second and two appends, too much for
+    each single request.
     """
     if unmet_tokens <= 0:
         return 0
@@ -187,17 +183,17 @@
     return max(0, (view.free_tokens - soon_tokens) // 2)
 
 
-#: Large requests that a quiet budget has room for.
+#: Number of large requests that the target covers at least.
 _HANDFUL = 4
 
-#: Large requests that a promotion share covers, if the grant is not too small for it.
+#: Number of large requests that a promotion share covers, if the grant is large enough.
 _SHARE_REQUESTS = 4
 
-#: A budget that asks along with another does so below this share of its target.
+#: A budget whose ask shares another's append asks below this percentage of its target.
 _ALONG_BELOW_PERCENT = 97
 
-#: A refill of less than one in so many of the free tokens is not worth an append.
+#: A refill below the free tokens divided by this is not worth an append.
 _SMALL_REFILL = 4
 
-#: Seconds of own demand that are kept when another data centre asks.
+#: Seconds of own demand that are withheld when another data centre asks.
 _KEEP_S = 2.0
--- a/mothstand/core/fleet.py
+++ b/mothstand/core/fleet.py
@@ -1,11 +1,11 @@
-"""Who belongs to the fleet, and which few of them claim from the store for all.
-
-The load that this answers: if each of 70 instances held a part of each budget, the parts would be
-smaller than a request, each claim would race 70 others for its condition, and each instance would
-read what all others write. So in each data centre a few instances claim, and the rest borrow from
-them, one call within the data centre for a request. Claimants are the most capable machines, of
-equal ones those that a rendezvous hash names, so all instances agree without a word, and a death
-moves no more than its own place.
+"""Membership of the fleet, and the choice of the instances that claim tokens for the others.
+
+If each of 70 instances held a part of each budget, the parts would be smaller than a request, each
+conditional append would compete with 70 others, and each instance would read what all others
+write. So a few instances of each data centre claim, and the others borrow from them, with one call
+within the data centre per request. Claimants are the machines with the most capacity; a rendezvous
+hash decides between equal ones. So all instances choose alike without communication, and the death
+of a claimant replaces only that claimant.
 """
 
 from __future__ import annotations
@@ -20,32 +20,32 @@
     from ..types import DataCentre, Shard
     from .loans import Peer
 
-#: Least seconds between two announcements of an instance.
+#: Minimum seconds between two announcements of an instance.
 ANNOUNCE_S = 4.0
 
-#: Announcements of the whole fleet a second; all instances read all of them.
+#: Maximum announcements per second of the whole fleet; all instances read all of them.
 MOST_ANNOUNCEMENTS_PER_S = 20.0
 
-#: An instance that has missed so many announcements has gone. The store turns some instances away
-#: for up to 12 s while it serves the others; were they taken for gone, claims would move. A
-#: claimant that is merely silent is passed over by its borrowers at once.
+#: Number of missed announcements after which an instance expires. The store rejects some instances
+#: for up to 12 s while it serves others; if these expired, claims would move. Borrowers skip an
+#: unresponsive claimant at once, without waiting for this.
 GONE_AFTER_MISSED = 6
 
-#: The claimants of a shard in each data centre. Two may be down at once; and a small data centre
-#: has no more instances than this, so that all claim and no request needs another instance.
+#: Claimants of a shard in each data centre. Two may be down at once. A small data centre has no
+#: more instances than this, so all of them claim and no request needs another instance.
 CLAIMANTS_PER_DATA_CENTRE = 3
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class Capacity:
-    """What an instance's machine can do, by its settings; compared in the order of the fields.
+    """Capacity of an instance's machine, by its settings; compared in the order of the fields.
 
     Parameters
     ----------
     cores
         Processor time that it gets, in cores of the usual speed.
     link_mbit_per_s
-        Of its own link; 0 where that is not known.
+        Bandwidth of its own link; 0 where unknown.
     """
 
     cores: float = 1.0
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """One instance of the fleet, by its own announcement."""
+    """An instance of the fleet, as it announced itself."""
 
     peer: Peer
     data_centre: DataCentre
@@ -63,14 +63,14 @@
 
 @dataclass(slots=True)
 class FleetView:
-    """The fleet as this instance knows it from announcements.
+    """This instance's view of the fleet, from announcements.
 
     Parameters
     ----------
-    me
+    local_member
         This instance.
     claimants_per_data_centre
-        How many claim in each data centre, the same in the whole fleet.
+        Number of claimants of a shard in each data centre; the same in the whole fleet.
     """
 
     me: Member
@@ -81,7 +81,7 @@
     _claimants: dict[Shard, list[Member]] = field(default_factory=dict)
 
     def note(self, member: Member, now_s: float) -> None:
-        """Take an announcement."""
+        """Add the instance that announced itself, or update it."""
         name = member.peer.instance
         self._seen_s[name] = now_s
         if self._members.get(name) != member:
@@ -89,13 +89,10 @@
             self._claimants.clear()
 
     def read(self, now_s: float) -> list[str]:
-        """Note that announcements were read up to now; drop and return who is silent for long.
+        """Note that announcements were read up to now; drop and return expired members.
 
-        Notes
-        -----
-        While announcements cannot be read nobody's silence means anything. Without a new start
-        of their times after such a gap, the whole fleet would count as gone, and nobody would
-        claim or lend.
+        After a gap in reading, all members count as seen now. Otherwise the whole fleet would
+        expire, and no instance would claim or lend.
         """
         if self._read_at_s is None or now_s - self._read_at_s > 2 * self.announce_s:
             self._seen_s = dict.fromkeys(self._seen_s, now_s)
@@ -114,7 +111,7 @@
 
     @property
     def size(self) -> int:
-        """How many instances there are, this one included."""
+        """Number of instances, including this one."""
         return len({*self._members, self.me.peer.instance})
 
     def knows(self, instance: str) -> bool:
@@ -127,7 +124,7 @@
         return [member for name, member in self._members.items() if name != mine]
 
     def claimants(self, shard: Shard) -> list[Member]:
-        """Return the instances that claim the budgets of a shard; this one may be among them."""
+        """Return the instances that claim the budgets of a shard, possibly with this one."""
         if shard not in self._claimants:
             everyone = [*self.others(), self.me]
             self._claimants[shard] = _chosen(everyone, shard, self.claimants_per_data_centre)
@@ -138,9 +135,10 @@
         return any(m.peer.instance == self.me.peer.instance for m in self.claimants(shard))
 
     def lenders(self, shard: Shard) -> list[Peer]:
-        """Return whom to ask for loans: near ones first, in an order of this instance's own.
+        """Return the other claimants of a shard to ask for loans, in order.
 
-        Each instance has its own order, or all would ask the same claimant first.
+        Claimants of this data centre come first. The order among them is different for each
+        instance; otherwise all would ask the same claimant first.
         """
         mine = self.me.peer.instance
         others = [m for m in self.claimants(shard) if m.peer.instance != mine]
@@ -152,11 +150,11 @@
 
 
 def _chosen(members: list[Member], shard: Shard, per_data_centre: int) -> list[Member]:
-    """Return the claimants of a shard: of each data centre the most capable machines.
+    """Return the claimants of a shard: the machines with most capacity of each data centre.
 
-    A claimant reads what all others write, and its append fails whenever another one came first.
-    A slow machine writes less often than borrowers wait for, and their requests find no tokens
-    within reach though the budget has plenty.
+    A claimant reads what all others write, and its append fails when another one comes first. A
+    slow machine would write less often than its borrowers need, so their requests would find no
+    tokens although the budget has enough.
     """
     by_data_centre: dict[DataCentre, list[Member]] = defaultdict(list)
     for member in members:
--- a/mothstand/core/hashing.py
+++ b/mothstand/core/hashing.py
@@ -1,4 +1,4 @@
-"""Hashes by which all instances decide alike without a word."""
+"""Hashes with which all instances make the same choice without communication."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 
 def rendezvous_weight(subject: str, name: str) -> int:
-    """Return what a name weighs for a subject: the highest or lowest of all names is chosen.
+    """Return the weight of a name for a subject; the highest or lowest weight is chosen.
 
-    A name that comes or goes moves only the subjects that it wins.
+    Adding or removing a name changes the choice only for the subjects that it wins.
     """
     return xxhash.xxh3_64_intdigest(f"{subject}|{name}".encode())
 
 
 def shard_index(name: str, shards: int) -> int:
-    """Return in which of some shards a name lies."""
+    """Return the index of the shard that contains a name."""
     return xxhash.xxh3_64_intdigest(name.encode()) % shards
--- a/mothstand/core/intents.py
+++ b/mothstand/core/intents.py
@@ -1,4 +1,4 @@
-"""The fold of the ``intents`` stream: who may run a request that must not be repeated."""
+"""Fold of the ``intents`` stream, which decides which instance runs a non-repeatable request."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 if TYPE_CHECKING:
     from ..types import Member
 
-#: Status of a run that its owner gave up before any byte left: the key is free again.
+#: Status of a run that its owner gave up before it sent any byte. The key is free again.
 RELEASED = 0
 
-#: Status of a run whose upstream got the request and gave no answer.
+#: Status of a run whose upstream received the request and gave no answer.
 OUTCOME_UNKNOWN = -1
 
 
 @dataclass(slots=True)
 class Intent:
-    """The claim to the only run of a request.
+    """A claim to the only run of a request.
 
     Parameters
     ----------
     status
-        HTTP status that the run ended with, or `OUTCOME_UNKNOWN`; None while it may be running.
+        HTTP status that the run ended with, or `OUTCOME_UNKNOWN`; None while possibly running.
     """
 
     owner: Member
@@ -34,12 +34,12 @@
 
 
 class IntentFold:
-    """First claim of a key wins, in every process alike.
+    """Accepts the first claim of each key, identically in every process.
 
     Parameters
     ----------
-    kept_records
-        How many claims are remembered, the latest ones. A retry after that is a new request.
+    max_records
+        Number of latest claims to retain. A retry of an older request counts as a new request.
     """
 
     def __init__(self, kept_records: int = 200_000) -> None:
@@ -51,11 +51,11 @@
         return len(self._intents)
 
     def find(self, request_key: str) -> Intent | None:
-        """Return the claim of a key, or None."""
+        """Return the claim of a key, or None if there is none."""
         return self._intents.get(request_key)
 
     def apply(self, offset: int, record: IntentRecord) -> Outcome:
-        """Apply the record at `offset` and return what was decided about it."""
+        """Apply the record at `offset` and return whether it was accepted."""
         author = record.record_id.author
         if record.record_id.sequence <= self._last_sequence.get(author, 0):
             return refused("appended before, under the same record id")
--- a/mothstand/core/leadership.py
+++ b/mothstand/core/leadership.py
@@ -1,7 +1,7 @@
-"""When an instance should open a ledger epoch, and with which witness.
+"""Decision when an instance opens a ledger epoch, and with which witness.
 
-Every instance of a data centre works this out for itself from the fold and its own beliefs. Two
-that disagree both append; the fold accepts one.
+Each instance of a data centre decides from the fold and its own membership view. If two instances
+both append an epoch, the fold accepts one.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
     Parameters
     ----------
     reason
-        For the audit trail.
+        Text for the audit trail.
     """
 
     prior_epoch: Epoch
@@ -51,11 +51,12 @@
 
     Notes
     -----
-    - No epoch, a closed one, or a holder that is gone: the first live instance in rendezvous
-      order opens one, but the old witness goes first, since it can seal and close the old epoch.
-    - This instance holds an epoch whose witness is missing or gone, and another is alive: it
-      opens the next epoch with that one. The witness of an open epoch never changes: a holder
-      that picked a new one could spend what the old one has sealed and returned.
+    - If there is no epoch, it is closed, or its holder is unresponsive or stopping: the first live
+      instance in rendezvous order opens one. The old witness comes before all others, since it can
+      seal and close the old epoch.
+    - If this instance holds an epoch without a live witness: it opens the next epoch, with another
+      live instance as witness if there is one. The witness of an open epoch never changes, because
+      a holder with a new witness could spend what the old witness has sealed and returned.
     """
     alive = membership.alive_here(now_s)
     state = fold.current_epoch(membership.data_centre)
