--- a/mothstand/core/fleet.py
+++ b/mothstand/core/fleet.py
@@ -63,7 +63,7 @@
 
 @dataclass(slots=True)
 class FleetView:
-    """This instance's view of the fleet, from announcements.
+    """The fleet as one instance knows it from announcements.
 
     Parameters
     ----------
--- a/mothstand/core/leadership.py
+++ b/mothstand/core/leadership.py
@@ -54,9 +54,10 @@
     - If there is no epoch, it is closed, or its holder is unresponsive or stopping: the first live
       instance in rendezvous order opens one. The old witness comes before all others, since it can
       seal and close the old epoch.
-    - If this instance holds an epoch without a live witness: it opens the next epoch, with another
-      live instance as witness if there is one. The witness of an open epoch never changes, because
-      a holder with a new witness could spend what the old witness has sealed and returned.
+    - If this instance holds an epoch whose witness is missing, unresponsive or stopping, and
+      another instance is alive: it opens the next epoch with that one as witness. The witness of
+      an open epoch never changes, because a holder with a new witness could spend what the old
+      witness has sealed and returned.
     """
     alive = membership.alive_here(now_s)
     state = fold.current_epoch(membership.data_centre)
--- a/mothstand/core/ledger_fold.py
+++ b/mothstand/core/ledger_fold.py
@@ -1,12 +1,12 @@
-"""The fold of one ledger shard's stream: what is paid, granted, spent and closed.
+"""Fold of one ledger shard's stream: payments, epochs, grants and spend.
 
-The fold is the only authority on escrow. For every budget it keeps
+The fold is the only authority on escrow. For every budget it keeps the invariant
 
     sum over epochs of consumed(epoch)  <=  paid
 
-where an open epoch consumes its whole grant and a closed one what its two sides vouch for. A
-holder can spend only what an accepted record granted, so whatever any process believes of any
-other, spend stays below paid.
+where an open epoch consumes its whole grant, and a closed one the spend that its two sides
+certify. A holder can spend only what an accepted record granted, so spend never exceeds the paid
+tokens, whatever the membership view of any process is.
 """
 
 from __future__ import annotations
@@ -31,10 +31,10 @@
     refused,
 )
 
-#: Epochs of a data centre that are kept one by one, so that late settlements still count.
+#: Epochs of a data centre that are retained individually, so that late settlements still count.
 KEPT_EPOCHS = 4
 
-#: Authors in a snapshot whose last sequence number is kept; older ones have long gone.
+#: Authors whose last sequence number a snapshot contains; earlier authors have stopped long ago.
 KEPT_AUTHORS = 10_000
 
 
@@ -44,7 +44,7 @@
     Parameters
     ----------
     shard
-        The shard whose stream is folded; an epoch record of another shard is refused.
+        The shard of the stream; an epoch record of another shard is refused.
     """
 
     def __init__(self, shard: Shard) -> None:
@@ -59,9 +59,9 @@
         self._last_sequence: dict[str, int] = {}
 
     def apply(self, offset: int, record: LedgerRecord) -> Outcome:
-        """Apply the record at `offset` and return what was decided about it.
+        """Apply the record at `offset` and return whether it was accepted.
 
-        Records must come in the order of the stream; several may share one offset.
+        Records must be applied in the order of the stream; several may share one offset.
         """
         self.offset = max(self.offset, offset)
         if not self._is_new(record.record_id):
@@ -86,11 +86,11 @@
         return None if epoch is None else self.epochs[epoch]
 
     def retired_tokens(self, budget: BudgetName) -> int:
-        """Return what epochs consumed that are kept only as a sum."""
+        """Return what the epochs consumed that are retained only as a sum."""
         return self._retired.get(budget, 0)
 
     def ungranted_tokens(self, budget: BudgetName) -> int:
-        """Return what is paid and in no epoch's hands."""
+        """Return the paid tokens that are granted to no epoch."""
         return self.paid_tokens.get(budget, 0) - self._consumed.get(budget, 0)
 
     def reported_tokens(self, budget: BudgetName, *, without: Epoch = NO_EPOCH) -> int:
@@ -98,20 +98,20 @@
 
         Parameters
         ----------
-        without
-            An epoch to leave out, whose account the caller has at hand.
+        excluded_epoch
+            An epoch to leave out because the caller has its account.
         """
         total = self._retired.get(budget, 0)
         for state in self.epochs.values():
             grant = state.grants.get(budget)
             if grant is None or state.epoch == without:
                 continue
-            # Until both sides closed, the last report is the only lower bound.
+            # Until both sides have closed, the last report is the only lower bound.
             total += state.consumed_tokens(budget) if state.settled else grant.reported_tokens
         return total
 
     def stranded_tokens(self, budget: BudgetName) -> int:
-        """Return what superseded epochs hold back and may never give: the written-off part."""
+        """Return the tokens of superseded epochs that are neither reported spent nor free."""
         total = 0
         for state in self.stranded_epochs():
             grant = state.grants.get(budget)
@@ -120,7 +120,7 @@
         return max(0, total)
 
     def stranded_epochs(self) -> list[EpochState]:
-        """Return the superseded epochs in which a side is silent."""
+        """Return the superseded epochs that a side has not closed."""
         return [
             state
             for epoch, state in sorted(self.epochs.items())
@@ -161,7 +161,7 @@
         return ACCEPTED
 
     def _retire(self, data_centre: DataCentre) -> None:
-        """Keep only the sum of old settled epochs, so that memory does not grow with takeovers."""
+        """Replace old settled epochs by their sum, so that memory does not grow with takeovers."""
         mine = sorted(e for e, state in self.epochs.items() if state.data_centre == data_centre)
         for epoch in mine[:-KEPT_EPOCHS]:
             state = self.epochs[epoch]
@@ -186,7 +186,7 @@
 
     @classmethod
     def load(cls, shard: Shard, snapshot: LedgerSnapshot) -> LedgerFold:
-        """Return the state that a snapshot tells of."""
+        """Return the fold with the state of a snapshot."""
         fold = cls(shard)
         fold.offset = snapshot.at_offset
         fold.paid_tokens = dict(snapshot.paid)
@@ -234,8 +234,8 @@
     def _return(self, record: EscrowReturned) -> Outcome:
         state = self.epochs.get(record.epoch)
         if state is None or state.closed:
-            # A side that closed counted these tokens as spent; giving them back now would count
-            # them twice.
+            # A closed side counted these tokens as spent; returning them now would count them
+            # twice.
             return refused(f"epoch {record.epoch} is closed or unknown")
         grant = state.grants.get(record.budget)
         held = 0 if grant is None else grant.granted_tokens - grant.returned_tokens
@@ -251,11 +251,12 @@
             return refused(f"epoch {record.epoch} is unknown")
         speaker = state.holder if record.side is Side.HOLDER else state.witness
         if speaker is None or speaker.incarnation != record.record_id.author:
-            # A process restarted at the same address remembers nothing and would vouch for
-            # "nothing spent".
+            # A process that restarted at the same address has lost its account and would report
+            # that nothing was spent.
             return refused(f"author is not the epoch's {record.side.value}")
         if state.released:
-            # The declared spend is one sum: a side that wakes could only take its own part off it.
+            # The declared spend is one sum for both sides; a side that closes now could not lower
+            # only its own part of it.
             return refused(f"epoch {record.epoch} was released")
         self._add_consumed(state, sign=-1)
         self._take_spends(state, record)
@@ -263,12 +264,12 @@
         return ACCEPTED
 
     def _add_consumed(self, state: EpochState, *, sign: int) -> None:
-        """Take an epoch out of the budgets' sums (-1), before its sides change, or back in (1)."""
+        """Subtract an epoch from the budgets' sums (-1) before its sides change, or add it (1)."""
         for budget in state.grants:
             self._consumed[budget] += sign * state.consumed_tokens(budget)
 
     def _release(self, record: EpochReleased) -> Outcome:
-        """Take an operator's word in place of the silent sides'."""
+        """Apply the spend that an operator declares for an epoch that a side has not closed."""
         state = self.epochs.get(record.epoch)
         if state is None:
             return refused(f"epoch {record.epoch} is unknown")
@@ -285,7 +286,7 @@
                 return refused(f"{budget}: {said} spent is not within {least} to {most}")
         self._add_consumed(state, sign=-1)
         for budget, grant in state.grants.items():
-            # The sides count what was returned as spent.
+            # The spend of a side includes returned tokens.
             tokens = declared.get(budget, 0) + grant.returned_tokens
             grant.holder = grant.witness = BudgetSpend(budget, tokens, 0)
         state.holder_closed = state.witness_closed = state.released = True
@@ -314,7 +315,7 @@
 
 
 def _lower(said: BudgetSpend, now: BudgetSpend) -> BudgetSpend:
-    """Return the smaller of two reports of one side; settling only ever lowers a closed side."""
+    """Return the minimum of two reports of one side; settling can only lower a closed side."""
     return BudgetSpend(
         budget=said.budget,
         witnessed_tokens=min(said.witnessed_tokens, now.witnessed_tokens),
--- a/mothstand/core/ledger_state.py
+++ b/mothstand/core/ledger_state.py
@@ -1,4 +1,4 @@
-"""Grants and epochs of a ledger shard, as the fold keeps them and as snapshots carry them."""
+"""Grants and epochs of a ledger shard, in the fold's state and in snapshots."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
     Parameters
     ----------
     granted_tokens
-        Sum of the accepted asks.
+        Sum of the tokens granted to the accepted asks.
     allowance_tokens
         Part of it that the holder may spend without its witness.
     promotion_tokens
         Part of it that the witness may spend by itself after sealing.
     returned_tokens
-        Given back while the epoch was open; the sides count it as spent.
+        Returned while the epoch was open; included in the spend of both sides.
     reported_tokens
         Settled spend as of the last ask; a lower bound.
     holder, witness
-        Spend that a side vouched for on closing, or None.
+        Spend that the side reported on closing, or None.
     """
 
     granted_tokens: int = 0
@@ -38,18 +38,18 @@
     witness: BudgetSpend | None = None
 
     def consumed_tokens(self, *, holder_closed: bool, witness_closed: bool) -> int:
-        """Return what the epoch may have spent, as an upper bound, less what it returned.
+        """Return an upper bound of what the epoch spent, less the returned tokens.
 
         Parameters
         ----------
         holder_closed, witness_closed
-            Whether the side closed; a closed side that does not name the budget spent none of it.
+            Whether the side closed. A closed side that does not name the budget spent none of it.
 
         Notes
         -----
-        Each side's total bounds the witnessed spend from above, so the smaller one holds. What
-        only one side can know is counted whole while that side is silent: the witness's promotion
-        share, the holder's allowance.
+        Each side's total is an upper bound of the witnessed spend, so the smaller one counts.
+        While a side has not closed, the part that only it knows counts in full: the witness's
+        promotion share or the holder's allowance.
         """
         if not holder_closed and not witness_closed:
             return self.granted_tokens - self.returned_tokens
@@ -65,9 +65,9 @@
         return min(self.granted_tokens, spent) - self.returned_tokens
 
     def least_spent_tokens(self) -> int:
-        """Return the least that may be declared as spent, without what was returned.
+        """Return the minimum that may be declared as spent, without the returned tokens.
 
-        A closed side's word counts whole, though it is an upper bound of the witnessed part.
+        A closed side's report counts in full, although its witnessed part is an upper bound.
         """
         said = [
             side.witnessed_tokens + side.own_tokens - self.returned_tokens
@@ -82,7 +82,13 @@
 
 @dataclass(slots=True)
 class EpochState:
-    """One epoch as the log tells it; `released` by an operator, in place of its silent sides."""
+    """State of one epoch, as of the log.
+
+    Parameters
+    ----------
+    released
+        Whether an operator declared its spend in place of the sides that had not closed.
+    """
 
     epoch: Epoch
     data_centre: DataCentre
@@ -96,12 +102,12 @@
 
     @property
     def closed(self) -> bool:
-        """Whether either side has closed it: no grant is added any more."""
+        """Whether either side has closed it, after which it receives no grants."""
         return self.holder_closed or self.witness_closed
 
     @property
     def settled(self) -> bool:
-        """Whether every side that exists has closed it, so that nothing is held back."""
+        """Whether all existing sides have closed it, so that no unspent tokens are stranded."""
         return self.holder_closed and (self.witness_closed or self.witness is None)
 
     def silent(self) -> list[Member]:
@@ -114,7 +120,7 @@
         grant = self.grants.get(budget)
         if grant is None:
             return 0
-        # An epoch without a witness has nobody else to hear.
+        # An epoch without a witness is complete once its holder has closed it.
         alone = self.witness is None and self.holder_closed
         return grant.consumed_tokens(
             holder_closed=self.holder_closed, witness_closed=self.witness_closed or alone
@@ -125,7 +131,7 @@
 
 
 def epoch_image(state: EpochState) -> EpochImage:
-    """Return an epoch as a snapshot carries it."""
+    """Return the snapshot's form of an epoch."""
     return EpochImage(
         epoch=state.epoch,
         data_centre=state.data_centre,
@@ -143,7 +149,7 @@
 
 
 def epoch_state(image: EpochImage) -> EpochState:
-    """Return an epoch as the fold keeps it."""
+    """Return the fold's state of an epoch from a snapshot."""
     return EpochState(
         epoch=image.epoch,
         data_centre=image.data_centre,
--- a/mothstand/core/loans.py
+++ b/mothstand/core/loans.py
@@ -1,4 +1,4 @@
-"""Loans of tokens between instances: whom to ask, how much to give, and each loan once."""
+"""Loans of tokens between instances: choice of lenders, amounts, and detection of repeated calls."""
 
 from __future__ import annotations
 
@@ -12,35 +12,34 @@
     from ..types import BudgetName
     from .claims import ClaimTable, HeldBudget
 
-#: Part of what a lender holds that it gives beyond the need of the requests that wait: without
-#: some, each request of a borrower costs a call; with all, the two would ask each other in turns.
+#: Part of a lender's spare tokens that it may lend beyond the need of the waiting requests. Without
+#: extra tokens, each request of a borrower costs a call; if all were lent, the two instances would
+#: borrow from each other in turn.
 EXTRA_SHARE = 0.5
 
-#: Loans that a lender remembers, so that a repeated call moves tokens once. A caller repeats
-#: within a minute; ten a second for that long are far more than instances ask for.
+#: Maximum number of remembered loans, so that a repeated call moves tokens once. A caller repeats
+#: within a minute; ten calls per second for a minute (600) are far more than instances make.
 _MOST_REMEMBERED = 5000
 
-#: A peer that did not answer is not asked again for this long: each further try would cost the
+#: Pause before a peer that did not answer is asked again: each further attempt would cost the
 #: waiting request another timeout.
 PEER_PAUSE_S = 2.0
 
 
 @dataclass(slots=True)
 class LoanBook:
-    """The loans that this instance has given, and what was left to it.
+    """Loans that this instance has given, and handovers that it has received.
 
-    Notes
-    -----
-    When a reply is lost the borrower does not know whether the tokens are its own. It asks again
-    under the same id; without a memory of the first answer the lender would give twice, and the
-    first loan would be lost to everyone.
+    If a reply is lost, the borrower does not know whether it received the tokens, and asks again
+    with the same id. If the lender did not remember its first answer, it would lend twice, and
+    nobody could use the tokens of the first loan.
     """
 
     _given: OrderedDict[str, int] = field(default_factory=OrderedDict)
     _taken: OrderedDict[str, int] = field(default_factory=OrderedDict)
 
     def take_over(self, held: HeldBudget, loan_id: str, tokens: int) -> int:
-        """Add tokens that another instance has taken out for this one, once; return how many."""
+        """Add tokens that a stopping instance hands over, once per id; return how many."""
         if loan_id in self._taken:
             return 0
         held.receive(tokens)
@@ -56,7 +55,7 @@
         needed_tokens: int,
         extra_tokens: int,
     ) -> int:
-        """Take tokens out of what is held, and return how many."""
+        """Lend held tokens, once per id, and return how many."""
         if loan_id in self._given:
             return self._given[loan_id]
         spare = max(0, held.available_tokens - kept_tokens)
@@ -84,23 +83,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Holding:
-    """What an instance holds of a budget, as it last wrote."""
+    """Tokens of a budget that an instance holds, as of its latest claim."""
 
     instance: str
     tokens: int
 
 
-#: Holders that a lender names at most: more than one loan is seldom put together of.
+#: Maximum number of holders that a lender names; a borrower seldom needs loans from more.
 _MOST_NAMED = 4
 
-#: A holder whose claims have not changed for this long may have gone.
+#: A holder whose claims have not changed for this many seconds has possibly stopped.
 _HELD_FOR_S = 4.0
 
 
 def holdings(
     table: ClaimTable, budget: BudgetName, me: Holder, now_s: float
 ) -> tuple[Holding, ...]:
-    """Return what others hold of a budget by their claims, most first."""
+    """Return what other instances hold of a budget by their claims, largest first."""
     others = [
         Holding(holder.instance, claim.held_tokens)
         for holder, claim in table.claims[budget].items()
@@ -112,10 +111,10 @@
 
 
 def next_asked(peers: list[Peer], named: tuple[Holding, ...]) -> list[Peer]:
-    """Return those of the peers that hold some, most first.
+    """Return the peers among the named holders, those with most tokens first.
 
-    A borrower knows no claims. Asked one after the other, all lenders of a budget that is used up
-    cost it the whole time that a request may wait, and it refuses all the same.
+    A borrower does not read claims. If it asked all lenders of a used-up budget in turn, the
+    request would spend its whole waiting time and still be refused.
     """
     tokens = {holding.instance: holding.tokens for holding in named}
     holders = [peer for peer in peers if peer.instance in tokens]
@@ -124,7 +123,7 @@
 
 @dataclass(slots=True)
 class PeerChoice:
-    """Whom to ask for a loan: who is believed to hold most, and answers."""
+    """Order in which to ask peers for a loan, without unresponsive and empty ones."""
 
     _silent_until_s: dict[str, float] = field(default_factory=dict)
     _dry_until_s: dict[tuple[str, str], float] = field(default_factory=dict)
@@ -132,11 +131,11 @@
     def order(
         self, peers: list[Peer], table: ClaimTable, budget: BudgetName, now_s: float
     ) -> list[Peer]:
-        """Return the peers to ask, in order; those that hold the same keep their order."""
+        """Return the peers to ask, those with most unspent tokens first; equal ones keep order."""
         claims = table.claims[budget]
 
         def unspent(peer: Peer) -> int:
-            # By this start of the peer: what a dead one of the same name held it cannot give.
+            # Only the claim of the peer's current start: it cannot lend what an earlier start held.
             claim = claims.get(Holder(peer.instance, peer.incarnation))
             return 0 if claim is None else claim.claimed_tokens - claim.spent_tokens
 
@@ -148,7 +147,7 @@
         return sorted(asked, key=unspent, reverse=True)
 
     def answering(self, peers: list[Peer], now_s: float) -> list[Peer]:
-        """Return the peers without those that did not answer a moment ago."""
+        """Return the peers without those that recently did not answer."""
         return [p for p in peers if self._silent_until_s.get(p.instance, 0.0) <= now_s]
 
     def silent(self, peer: Peer, now_s: float) -> None:
@@ -156,9 +155,9 @@
         self._silent_until_s[peer.instance] = now_s + PEER_PAUSE_S
 
     def dry(self, peer: Peer, budget: BudgetName, now_s: float) -> None:
-        """Note that a peer had nothing of a budget; requests that end there free some again."""
+        """Note that a peer had no tokens of a budget; requests that end there may free some."""
         self._dry_until_s[peer.instance, budget] = now_s + DRY_PAUSE_S
 
 
-#: A peer that had nothing is not asked again for this long; about as long as a request runs.
+#: Pause before a peer without tokens is asked again; about the duration of a request.
 DRY_PAUSE_S = 0.3
--- a/mothstand/core/renewals.py
+++ b/mothstand/core/renewals.py
@@ -1,15 +1,15 @@
-"""What a dead process surely did not spend, so that its successor can give it back.
-
-A process in touch with the store spends no more of a claim than its base. While it is out of touch
-its window opens bit by bit, and after `UNLOCK_S` all of the claim. So what a process can have
-spent at its death is bounded by the time from its last renewal to its death, and the rest of its
-claims is free again. The successor at the same address knows that it is dead. What it must show is
-how much time passed, at most, from the last renewal of the dead process to its own start.
-
-Renewals carry the time of day, which may jump by seconds on some machines. So the clocks of
-several machines must agree. The order of the records in the store says what another machine's
-clock can vouch for: a renewal that another instance wrote before the dead one's, and one that it
-wrote after the successor's, enclose the time in question.
+"""Upper bound of what a dead process spent, so that its successor can give back the rest.
+
+While a process reaches the store, it spends at most the base of a claim. While the store is
+unreachable, the window opens gradually, and after `UNLOCK_S` the whole claim. So the time from its
+last renewal to its death bounds what a process has spent, and the rest of its claims can be given
+back. The successor at the same address knows that the process is dead. It must prove the maximum
+time from the last renewal of the dead process to its own start.
+
+Renewals contain the time of day, which may jump by seconds on some machines, so the clocks of
+several machines must agree. The order of the records in the store shows what another machine's
+clock can prove: a renewal that another instance wrote before the last one of the dead process, and
+one that it wrote after the first one of the successor, enclose the time in question.
 """
 
 from __future__ import annotations
@@ -21,71 +21,71 @@
 if TYPE_CHECKING:
     from .loans import Peer
 
-#: Seconds out of touch after which a process may spend its whole claims. Long enough for a machine
-#: that is dark for 3.5 s, with three renewals a second: 0.35 s since the last one, and as much
-#: before and after for the renewals of others. Each second more is a second in which an outage is
-#: served from the windows.
+#: Seconds without contact to the store after which a process may spend its whole claims. Long
+#: enough to prove the death of a machine that is without power for 3.5 s, at three renewals per
+#: second: 0.35 s since the last one, and as much before and after for the renewals of others. With
+#: each further second, an outage is served only from the windows for a second longer.
 UNLOCK_S = 4.5
 
-#: Seconds out of touch from which on windows open. Renewals come three times in a second, and a
-#: slow store answers within half of one; a silence that is longer is an outage.
+#: Seconds without contact to the store after which windows begin to open. Renewals are written
+#: three times per second, and a slow store answers within 0.5 s; a longer gap is an outage.
 OPENS_S = 1.0
 
-#: Kept between a measured time and `UNLOCK_S`, for clocks that run apart.
+#: Margin added to a measured time, for clocks that drift apart.
 _MARGIN_S = 0.2
 
-#: Other machines whose clocks must agree. With one's own that makes three; the time of day jumps
-#: on fewer at once than half of six.
+#: Number of other machines whose clocks must agree. With this machine's own clock that makes
+#: three; of six machines, fewer than half have a jump of the time of day at once.
 _LEAST_WITNESSES = 2
 
-#: Renewals kept of each instance: half a minute of them.
+#: Renewals retained of each instance: half a minute of them.
 _MOST_KEPT = 100
 
 
 @dataclass(frozen=True, slots=True)
 class Opening:
-    """How much of its claims a process may spend.
+    """The part of its claims that a process may spend.
 
     Parameters
     ----------
     window_share
-        Part of what the window exceeds the base by.
-    all_claimed
-        Whether past the window, too.
+        Usable part of the difference between window and base.
+    is_full
+        Whether the whole claim may be spent, beyond the window.
     """
 
     window_share: float
     all_claimed: bool
 
     def limit_tokens(self, *, claimed: int, window: int, base: int) -> int:
-        """Return what may be spent of a claim."""
+        """Return the tokens of a claim that may be spent."""
         if self.all_claimed:
             return claimed
-        # The window stays as it was written when the claim is lowered below it: cut to the claim,
-        # it would open less at each look of a successor, until nothing past the base was left.
+        # A claim may be lowered below its window. If the window were reduced to the claim, it would
+        # open less with each poll of a successor, until nothing above the base was left.
         return min(claimed, base + int((window - base) * self.window_share))
 
 
-#: In touch with the store.
+#: Opening while the process reaches the store.
 CLOSED = Opening(0.0, all_claimed=False)
 
 
 def opening_after(silent_s: float) -> Opening:
-    """Return what may be spent after a time out of touch with the store."""
+    """Return the opening after a time without contact to the store."""
     share = (silent_s - OPENS_S) / (UNLOCK_S - OPENS_S)
     return Opening(min(1.0, max(0.0, share)), all_claimed=silent_s >= UNLOCK_S)
 
 
 @dataclass(frozen=True, slots=True)
 class Renewal:
-    """A process's word that it was in touch with the store.
+    """A process's record that it reached the store.
 
     Parameters
     ----------
     wall_s
         Time of day when it was written, in seconds since 1970.
     offset
-        Where it stands in the stream.
+        Its offset in the stream.
     """
 
     peer: Peer
@@ -100,7 +100,7 @@
     _by_instance: dict[str, list[Renewal]] = field(default_factory=lambda: defaultdict(list))
 
     def note(self, renewal: Renewal) -> None:
-        """Take a renewal; one that is known already changes nothing."""
+        """Add a renewal; one that was added before changes nothing."""
         kept = self._by_instance[renewal.peer.instance]
         if kept and kept[-1].offset < renewal.offset:
             kept.append(renewal)
@@ -119,7 +119,7 @@
     def longest_gap_s(
         self, last: Renewal, start: Renewal, started_wall_s: float, start_took_s: float
     ) -> float | None:
-        """Return the time that a process was out of touch at its death at most, if that is known.
+        """Return an upper bound of the time without contact before a process died, or None.
 
         Parameters
         ----------
@@ -130,12 +130,12 @@
         started_wall_s
             Time of day on the successor's machine when it started.
         start_took_s
-            From then until the successor sent its first renewal, on its steady clock.
+            Time from then until the successor sent its first renewal, on its monotonic clock.
 
         Notes
         -----
         The renewals of another machine enclose the time from the last renewal to the successor's
-        first one, and the successor's own start lies within it, so that much is taken off.
+        first one. That time includes the successor's start, which is subtracted.
         """
         if last.peer.address != start.peer.address:
             return None
--- a/mothstand/core/requests.py
+++ b/mothstand/core/requests.py
@@ -1,4 +1,4 @@
-"""What a shard's leaseholder knows of requests that came with an idempotency key."""
+"""Index of the requests with an idempotency key, at the leaseholder of a shard."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
     Parameters
     ----------
     owner
-        Incarnation of the instance that runs or ran it, where retries can join.
+        Incarnation of the instance that runs or ran it; retries can join the request there.
     finished_at_s
         Monotonic time of its settlement; None while it runs.
     """
@@ -26,8 +26,8 @@
 
     Parameters
     ----------
-    kept_s
-        How long a finished request is remembered. A retry after that is a new request.
+    retention_s
+        Time for which a finished request is remembered. A later retry counts as a new request.
     """
 
     def __init__(self, kept_s: float) -> None:
@@ -38,7 +38,7 @@
         return len(self._requests)
 
     def find(self, request_id: str, now_s: float) -> KnownRequest | None:
-        """Return what is known of a request, or None."""
+        """Return a running or remembered request, or None."""
         known = self._requests.get(request_id)
         if known is None or self._is_old(known, now_s):
             return None
@@ -59,7 +59,7 @@
             known.finished_at_s = now_s
 
     def expire(self, now_s: float) -> None:
-        """Drop what is past its time."""
+        """Drop requests that finished longer ago than the retention time."""
         old = [key for key, known in self._requests.items() if self._is_old(known, now_s)]
         for key in old:
             del self._requests[key]
--- a/mothstand/core/retry_budget.py
+++ b/mothstand/core/retry_budget.py
@@ -1,7 +1,7 @@
-"""The share of one instance in the retries that the whole fleet may send to a service.
+"""One instance's share of the retries that the whole fleet may send to a service.
 
-The load that this answers: upstreams that refuse or lose most of what they get. Each instance then
-retries as often as it may, and nobody has time to ask the others first.
+When upstreams refuse or lose most requests, each instance retries at its limit, and there is no
+time to ask other instances before a retry.
 """
 
 from __future__ import annotations
@@ -12,18 +12,18 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryBudgetSettings:
-    """The fleet's budget, as the operators set it.
+    """The fleet's retry budget, by the operators' settings.
 
     Parameters
     ----------
     ratio
-        Retries for each request.
+        Retries per request.
     burst
-        Retries in a window on top of those, over all instances.
+        Additional retries per window, over all instances.
     window_s
-        Any span of this length is a window.
+        Length of a window; the limit applies to every span of this length.
     delivery_s
-        Within which a retry that was granted arrives at its upstream, if it does.
+        Maximum time from the grant of a retry to its arrival at the upstream.
     """
 
     ratio: float
@@ -33,24 +33,24 @@
 
     @property
     def span_s(self) -> float:
-        """For how long after its grant a retry may lie in a window with later ones."""
+        """Time after its grant during which a retry may share a window with later ones."""
         return self.window_s + self.delivery_s
 
 
 @dataclass(frozen=True, slots=True)
 class RetryDecision:
-    """Whether one more retry may be sent, and what it was decided from.
+    """Decision whether one more retry may be sent, with the numbers behind it.
 
     Parameters
     ----------
-    taken
-        Retries in the window that decided it, the one asked for included.
+    used
+        Retries in the deciding window, including the one asked for.
     allowed
-        How many of them this instance allows itself there.
+        Maximum retries of this instance in that window.
     requests
-        Callers' requests that pay for them.
+        Callers' requests that the ratio was applied to.
     sharers
-        In how many parts the burst was divided, 0 if no part of it may be used here.
+        Number of parts of the burst, or 0 if this instance may use none.
     """
 
     is_granted: bool
@@ -62,15 +62,15 @@
 
 @dataclass(slots=True)
 class RetryBudget:
-    """Retries that this instance may still send to one service.
+    """Limits the retries of this instance to one service.
 
     Notes
     -----
-    In each window an instance keeps to the ratio on the mean of its own requests in that window and
-    in the one before. The fleet's retries are then within the ratio on the mean of the fleet's
-    requests in these two, and so on the larger of both, which is what the budget allows. Counted
-    back from each retry instead, the windows of the instances would not lie alike, and load that
-    moves from one to another would pay for retries twice.
+    In each window, an instance limits its retries to the ratio of the mean of its own requests in
+    that window and the one before. The fleet's retries are then within the ratio of the mean of the
+    fleet's requests in these two windows, hence of the larger count, as the budget allows. If
+    windows were counted back from each retry, they would differ between instances, and requests
+    that move from one instance to another would permit retries twice.
     """
 
     settings: RetryBudgetSettings
@@ -83,7 +83,7 @@
         Parameters
         ----------
         sent_s
-            The earliest time at which it may have been sent.
+            The earliest time at which it was possibly sent.
         """
         self._forget(sent_s)
         insort(self._requests_s, sent_s)
@@ -94,7 +94,7 @@
         Parameters
         ----------
         sharers
-            In how many parts the burst is divided, 0 if no part of it may be used here.
+            Number of parts of the burst, or 0 if this instance may use none.
         """
         self._forget(now_s)
         decision = self._decide(now_s, sharers)
@@ -108,15 +108,15 @@
         del self._requests_s[: bisect_left(self._requests_s, oldest_s)]
 
     def _pays_from_s(self, granted_s: float) -> float:
-        """Return since when requests pay, in a window whose first retry was granted then.
+        """Return the time from which requests count in a window whose first retry was granted.
 
-        It arrives within `delivery_s`, so the window begins by then, and the one before a window's
-        length earlier.
+        That retry arrives within `delivery_s`, so the window begins at the latest then, and the
+        window before it `window_s` earlier.
         """
         return granted_s + self.settings.delivery_s - self.settings.window_s
 
     def _decide(self, now_s: float, sharers: int) -> RetryDecision:
-        """Look at the windows that begin with each retry, the one asked for first."""
+        """Check the windows that begin with each retry, from the one asked for backwards."""
         share = self.settings.burst / sharers if sharers else 0.0
         for taken, began_s in enumerate([now_s, *reversed(self._granted_s)], start=1):
             first = bisect_left(self._requests_s, self._pays_from_s(began_s))
--- a/mothstand/core/succession.py
+++ b/mothstand/core/succession.py
@@ -1,4 +1,4 @@
-"""What a process gives back of the claims of its predecessor: the last start at its address."""
+"""Claims of its predecessor, the previous start at its address, that a process can give back."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 @dataclass(slots=True)
 class Succession:
-    """Keeps the renewals that a proof about the predecessor rests on.
+    """Collects the renewals that prove what the predecessor cannot have spent.
 
     Parameters
     ----------
     started_s, started_wall_s
         When this process started: on its monotonic clock, and its machine's time of day.
     first_sent_s
-        When it first sent a renewal, on the monotonic clock; None before.
+        When it first sent a renewal, on its monotonic clock; None before.
     """
 
     me: Peer
@@ -34,12 +34,12 @@
     _first_renewal: Renewal | None = None
 
     def sending(self, now_s: float) -> None:
-        """Note that a renewal is being sent; only the first time counts."""
+        """Note that a renewal is being sent; only the first one counts."""
         if self.first_sent_s is None:
             self.first_sent_s = now_s
 
     def note(self, renewal: Renewal) -> None:
-        """Take a renewal of any process, in the order of the stream."""
+        """Apply a renewal of any process, in the order of the stream."""
         self.renewals.note(renewal)
         if renewal.peer.instance != self.me.instance:
             return
@@ -49,7 +49,7 @@
             self._first_renewal = renewal
 
     def reclaimed(self, table: ClaimTable) -> list[Claim]:
-        """Return the predecessor's claims without what it surely did not spend."""
+        """Return the predecessor's claims, lowered to what it has possibly spent."""
         last, start = self._predecessor, self._first_renewal
         if last is None or start is None or self.first_sent_s is None:
             return []
--- a/mothstand/core/urgency.py
+++ b/mothstand/core/urgency.py
@@ -1,10 +1,10 @@
-"""Which requests get tokens first while a budget cannot be refilled.
+"""Reserve of tokens for higher-priority requests while a budget cannot be refilled.
 
-The load that this answers: for seconds an instance has only what it and its peers hold, a fraction
-of what callers ask for. A workspace's short, urgent questions take a fifth of its tokens and are
-two thirds of its requests; served first come, first served, they are refused along with the long
-documents that used everything up. Keeping back what the urgent ones will need serves most callers
-through the outage with the same tokens.
+During an outage of some seconds an instance has only the tokens that it and its peers hold, a
+fraction of the demand. A workspace's short questions of high priority take a fifth of its tokens
+and are two thirds of its requests. Without a reserve, the long documents use up all tokens and the
+questions are refused with them. Withholding the tokens that the questions will need serves most
+callers through the outage with the same tokens.
 """
 
 from __future__ import annotations
@@ -13,30 +13,31 @@
 
 from .demand import Demand
 
-#: The longest usual outage of the store; what urgent requests need is kept back until its end.
+#: Longest usual outage of the store; tokens for higher priorities are withheld until its end.
 OUTAGE_S = 9.0
 
-#: Least time that is kept for: the outage's end is noticed late.
+#: Minimum time to withhold tokens for, because the end of an outage is noticed late.
 _LEAST_S = 2.0
 
 
 @dataclass(frozen=True, slots=True)
 class Supply:
-    """Whether a budget can be refilled just now.
+    """Supply of tokens of a budget, and whether it can be refilled now.
 
     Parameters
     ----------
-    silent_s
-        Seconds since the store last answered; 0 while it does.
+    store_silent_s
+        Seconds since the store last answered; 0 while it answers.
     locked_tokens, unlocks_in_s
-        What is held, may not be spent yet, and may be once this time has passed.
+        Held tokens that may not be spent yet, and the time until they may be.
 
     Notes
     -----
-    Near a budget's end nothing is kept while the store answers: nobody knows when it is topped up
-    or its callers leave, and on most days what was kept was not asked for in time. Kept for nine
-    seconds of demand from there on, 3.3 % of a day's requests were refused instead of 1.8 %, and
-    13 % instead of 4 % on a day on which one workspace uses all that it paid for.
+    Nothing is withheld while the store answers, even near a budget's end: it is not known when the
+    budget is topped up or its callers stop, and on most days the withheld tokens were not requested
+    in time. When nine seconds of demand were withheld near the end, 3.3 % of a day's requests were
+    refused instead of 1.8 %, and 13 % instead of 4 % on a day on which one workspace uses all its
+    prepaid tokens.
     """
 
     silent_s: float
@@ -45,15 +46,15 @@
 
     @property
     def short_for_s(self) -> float:
-        """How long tokens are to be kept for urgent requests; 0 for no shortage."""
+        """Time for which to withhold tokens for higher priorities; 0 if there is no shortage."""
         return max(_LEAST_S, OUTAGE_S - self.silent_s) if self.silent_s > 0 else 0.0
 
     def kept_tokens(self, urgent_tokens_per_s: float) -> int:
-        """Return what must be left of the tokens that may be spent now.
+        """Return how many of the tokens that may be spent now must be left.
 
-        Two things must hold: these last until the locked ones may be spent, too, and both together
-        until the shortage's end. With the second alone, requests are refused in the first seconds
-        of an outage for the sake of others whose tokens lie there, locked for a moment longer.
+        These must last until the locked tokens unlock, and both together until the end of the
+        shortage. Without counting the locked tokens, requests would be refused in the first
+        seconds of an outage although enough tokens for the others are about to unlock.
         """
         for_s = self.short_for_s
         until_unlocked = urgent_tokens_per_s * min(for_s, self.unlocks_in_s)
@@ -63,7 +64,7 @@
 
 @dataclass(slots=True)
 class BudgetDemand:
-    """Demand on one budget, by the priority of its requests; 0 is the most urgent."""
+    """Demand on one budget by the priority of its requests; 0 is the highest priority."""
 
     total: Demand = field(default_factory=Demand)
     by_priority: dict[int, Demand] = field(default_factory=dict)
@@ -74,13 +75,14 @@
         self.by_priority.setdefault(priority, Demand()).ask(tokens, now_s)
 
     def kept_tokens(self, priority: int, supply: Supply, now_s: float) -> int:
-        """Return what requests of a priority must leave for more urgent ones.
+        """Return the tokens that requests of a priority must leave for higher priorities.
 
         Notes
         -----
-        Where the more urgent requests are larger, less is kept by as much: a label of 2,000 tokens
-        does not take the place of a document of 13,000. With all of it kept, labels were refused
-        for documents that the rest would not have served either, and in the end nobody used it.
+        Where requests of a higher priority are larger, the withheld tokens are reduced by the ratio
+        of the sizes: a label of 2,000 tokens does not displace a document of 13,000. Without that,
+        labels were refused for documents that the remaining tokens could not have served, and
+        nobody used these tokens.
         """
         if supply.short_for_s <= 0:
             return 0
@@ -90,7 +92,7 @@
 
 
 def _weight(mine: Demand | None, urgent: Demand) -> float:
-    """Return the part of an urgent demand to keep for: one's own size against its, at most 1."""
+    """Return the part of a higher-priority demand to withhold: the ratio of sizes, at most 1."""
     if mine is None or not mine.mean_tokens or not urgent.mean_tokens:
         return 1.0
     return min(1.0, mine.mean_tokens / urgent.mean_tokens)
