--- a/mothstand/core/claims.py
+++ b/mothstand/core/claims.py
@@ -104,8 +104,8 @@
     max_tokens
         Possibly consumed; these tokens are never given to another request.
     confirmed_tokens
-        Certainly consumed. If an upstream received a request and sent no event of an answer, it
-        cannot be determined whether the request ran.
+        Confirmed as consumed. If an upstream received a request and sent no event of an answer,
+        it cannot be determined whether the request ran.
     """
 
     most_tokens: int
@@ -276,7 +276,7 @@
         return doubt
 
     def rejected(self, doubt: DoubtfulAppend) -> None:
-        """Note that an append was certainly not done."""
+        """Note that an append is confirmed as not done."""
         self.doubts = [d for d in self.doubts if d is not doubt]
         self._settle_limits()
 
--- a/mothstand/core/ledger_fold.py
+++ b/mothstand/core/ledger_fold.py
@@ -111,7 +111,7 @@
         return total
 
     def stranded_tokens(self, budget: BudgetName) -> int:
-        """Return the tokens of superseded epochs that are neither reported spent nor free."""
+        """Return the tokens that superseded epochs hold back without a report of their spend."""
         total = 0
         for state in self.stranded_epochs():
             grant = state.grants.get(budget)
--- a/mothstand/core/ledger_state.py
+++ b/mothstand/core/ledger_state.py
@@ -120,7 +120,7 @@
         grant = self.grants.get(budget)
         if grant is None:
             return 0
-        # An epoch without a witness is complete once its holder has closed it.
+        # Without a witness, the holder's report alone is complete.
         alone = self.witness is None and self.holder_closed
         return grant.consumed_tokens(
             holder_closed=self.holder_closed, witness_closed=self.witness_closed or alone
--- a/mothstand/core/loans.py
+++ b/mothstand/core/loans.py
@@ -1,4 +1,4 @@
-"""Loans of tokens between instances: choice of lenders, amounts, and detection of repeated calls."""
+"""Loans of tokens between instances: choice of lenders, amounts, and repeated calls."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 EXTRA_SHARE = 0.5
 
 #: Maximum number of remembered loans, so that a repeated call moves tokens once. A caller repeats
-#: within a minute; ten calls per second for a minute (600) are far more than instances make.
+#: within a minute, and ten calls per second for that long are far more than instances make.
 _MOST_REMEMBERED = 5000
 
 #: Pause before a peer that did not answer is asked again: each further attempt would cost the
--- a/mothstand/core/renewals.py
+++ b/mothstand/core/renewals.py
@@ -23,15 +23,15 @@
 
 #: Seconds without contact to the store after which a process may spend its whole claims. Long
 #: enough to prove the death of a machine that is without power for 3.5 s, at three renewals per
-#: second: 0.35 s since the last one, and as much before and after for the renewals of others. With
-#: each further second, an outage is served only from the windows for a second longer.
+#: second: 0.35 s since the last one, and as much before and after for the renewals of others. Each
+#: additional second is one more second in which an outage is served only from the windows.
 UNLOCK_S = 4.5
 
 #: Seconds without contact to the store after which windows begin to open. Renewals are written
 #: three times per second, and a slow store answers within 0.5 s; a longer gap is an outage.
 OPENS_S = 1.0
 
-#: Margin added to a measured time, for clocks that drift apart.
+#: Margin added to a measured time before it is compared with `UNLOCK_S`, as clocks drift apart.
 _MARGIN_S = 0.2
 
 #: Number of other machines whose clocks must agree. With this machine's own clock that makes
@@ -119,7 +119,7 @@
     def longest_gap_s(
         self, last: Renewal, start: Renewal, started_wall_s: float, start_took_s: float
     ) -> float | None:
-        """Return an upper bound of the time without contact before a process died, or None.
+        """Return a proven upper bound of the time without contact before a death, or None.
 
         Parameters
         ----------
--- a/mothstand/tests/test_accounts.py
+++ b/mothstand/tests/test_accounts.py
@@ -1,4 +1,4 @@
-"""The two accounts of an epoch."""
+"""Tests of the holder's and the witness's account of an epoch."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 def reserve(holder: HolderAccount, tokens: int, lane: Lane = Lane.WITNESSED) -> Reservation | None:
-    """Reserve for a request of its own."""
+    """Reserve tokens for a new request."""
     return holder.reserve(f"r{tokens}", LUND, tokens, grant=GRANT, lane=lane)
 
 
 def send(holder: HolderAccount, witness: WitnessAccount) -> MirrorBatch:
-    """Send the holder's next batch and take the answer."""
+    """Pass the holder's next batch to the witness and apply its answer."""
     batch = holder.take_batch()
     assert batch is not None
     answer = witness.mirror(batch, {LUND: GRANT})
@@ -55,10 +55,10 @@
         assert holder.spent_tokens(LUND, Lane.OWN) == 50
 
     def test_same_batch_goes_out_until_it_is_answered(self) -> None:
-        """Symptom: holder and witness disagree about what is reserved.
+        """Guards against holder and witness that disagree about what is reserved.
 
-        Sequence: the answer to a batch is lost, more is reserved, the holder sends again.
-        Cause it guards against: putting new reservations into a batch that may have arrived.
+        The answer to a batch is lost, more is reserved, and the holder sends the batch again. New
+        reservations must not be added to a batch that has possibly arrived.
         """
         holder = HolderAccount(EPOCH, witnessed=True)
         reserve(holder, 10)
@@ -82,10 +82,10 @@
         assert witness.spent_tokens(LUND, Lane.WITNESSED) == 60
 
     def test_older_grant_acknowledges_less(self) -> None:
-        """Symptom: the witness certifies what the log has not told it of.
+        """Guards against a witness that certifies tokens of a grant that it has not read.
 
-        Sequence: the holder has read a new grant, the witness has not.
-        Cause it guards against: taking the holder's word for the grant.
+        The holder has read a new grant in the log and the witness has not; the witness must not
+        rely on the holder's grant.
         """
         holder, witness = HolderAccount(EPOCH, witnessed=True), WitnessAccount(EPOCH)
         taken = reserve(holder, 60)
@@ -99,10 +99,10 @@
         assert holder.spent_tokens(LUND, Lane.WITNESSED) == 0
 
     def test_batch_sent_again_counts_once(self) -> None:
-        """Symptom: room for a request is taken, or made, twice.
+        """Guards against tokens that are reserved or freed twice.
 
-        Sequence: a batch arrives, its answer is lost, it arrives again; then an old one does.
-        Cause it guards against: applying a batch each time it comes.
+        A batch arrives and its answer is lost; the batch arrives again, and then an old one. Each
+        batch must be applied only once.
         """
         holder, witness = HolderAccount(EPOCH, witnessed=True), WitnessAccount(EPOCH)
         reserve(holder, 30)
@@ -126,10 +126,10 @@
         assert witness.spent_tokens(LUND, Lane.WITNESSED) == 90
 
     def test_sealed_acknowledges_nothing(self) -> None:
-        """Symptom: a leaseholder that slept past its takeover spends what was given back.
+        """Guards against a leaseholder that was paused during a takeover and spends freed tokens.
 
-        Sequence: the witness seals, the holder wakes and reserves.
-        Cause it guards against: acknowledging after the rest was reported as free.
+        The witness seals, then the holder resumes and reserves. After the unspent tokens were
+        reported as free, no reservation must be acknowledged.
         """
         holder, witness = HolderAccount(EPOCH, witnessed=True), WitnessAccount(EPOCH)
         reserve(holder, 30)
--- a/mothstand/tests/test_burst_shares.py
+++ b/mothstand/tests/test_burst_shares.py
@@ -1,4 +1,4 @@
-"""Parts of the fleet's burst, by announcements that all instances read in one order."""
+"""Tests of the parts of the fleet's retry burst."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass
 class Log:
-    """Announcements in order; an instance reads all that it has not read, then writes its own."""
+    """Stream of announcements that all instances read in the same order."""
 
     records: list[tuple[str, str, SharerNotice | None]] = field(default_factory=list)
     read_to: dict[int, int] = field(default_factory=dict)
@@ -40,7 +40,7 @@
         shares.announced(notice, now_s)
 
     def run(self, instances: list[BurstShares], from_s: float, to_s: float) -> None:
-        """Let instances look one after the other, each `_ANNOUNCE_S`."""
+        """Let each instance read and announce, one after the other, every interval."""
         now_s = from_s
         while now_s < to_s:
             for shares in instances:
@@ -49,7 +49,7 @@
 
 
 def fleet_of(log: Log, count: int) -> list[BurstShares]:
-    """Return instances that have started together, and share the burst."""
+    """Return instances that started together and share the burst."""
     instances = [log.start(f"i{number}", 0.0) for number in range(count)]
     log.run(instances, 0.6, 12.0)
     return instances
@@ -64,7 +64,7 @@
         assert [shares.sharers(8.0) for shares in instances] == [6] * 6
 
     def test_restart_waits_for_the_window_of_its_earlier_start(self) -> None:
-        # Guards against a second part of the burst within one window.
+        # Guards against use of a second part of the burst within one window.
         log = Log()
         others = fleet_of(log, 3)[1:]
         again = log.start("i0", 13.0, start=2)
@@ -87,7 +87,8 @@
         assert new.sharers(18.0 + _SPAN_S + 0.1) == 3
 
     def test_newcomer_that_one_cannot_see(self) -> None:
-        # Guards against a newcomer that divides by more than an instance that is cut off.
+        # Guards against a new instance that divides the burst by more than an instance that cannot
+        # read its announcement.
         log = Log()
         seeing, cut_off = fleet_of(log, 2)
         new = log.start("i9", 12.0)
@@ -96,7 +97,7 @@
         assert new.sharers(24.0) == 0
 
     def test_lease_ends_before_the_others_share_out_the_part(self) -> None:
-        # Guards against an instance out of touch that uses a part which the others have taken.
+        # Guards against a disconnected instance that uses a part which the others already use.
         log = Log()
         others = fleet_of(log, 3)
         cut_off = others.pop()
@@ -108,7 +109,7 @@
         assert now_s > used_until_s + _SPAN_S
 
     def test_return_after_the_others_shared_out_its_part(self) -> None:
-        # Guards against an instance that goes on with a part which it has lost meanwhile.
+        # Guards against an instance that still uses a part which it lost while disconnected.
         log = Log()
         others = fleet_of(log, 3)
         back = others.pop()
--- a/mothstand/tests/test_claim_policy.py
+++ b/mothstand/tests/test_claim_policy.py
@@ -1,4 +1,4 @@
-"""How much is claimed, and who gets tokens first where they are short."""
+"""Tests of the claim policy, the demand estimate and the reserve for higher priorities."""
 
 from __future__ import annotations
 
@@ -59,11 +59,10 @@
         assert view.needed_claim_tokens < wanted < view.limit_tokens
 
     def test_no_claim_is_below_nothing(self) -> None:
-        """Symptom: more is spent than was paid.
+        """Guards against spend above the prepaid tokens; found by random histories, seed 0.
 
-        Sequence: an instance borrows tokens, its demand falls, it lowers its claim below zero to
-        give them back, and spends up to its window, which is not below zero.
-        Cause: a debt in the claim that the window did not know. Found by random histories, seed 0.
+        An instance borrowed tokens, its demand fell, and it lowered its claim below 0 to give them
+        back. Its window was not below 0, so it could still spend up to the window.
         """
         view = replace(
             _VIEW, limit_tokens=10_000, held_tokens=700_000, needed_claim_tokens=-690_000
@@ -93,9 +92,10 @@
         assert 3 * window <= 1_000_000 * _POLICY.window_share + 3
 
     def test_in_touch_a_part_of_the_window_is_spent(self) -> None:
-        """What a fleet of three loses when all die 2.4 s after they renewed: 11 % of what is left.
+        """Guards against large losses when all instances die at once.
 
-        It was 20 % when the whole window could be spent at once.
+        Three instances that die 2.4 s after their renewals lose 11 % of the remaining tokens. It
+        was 20 % when the whole window could be spent at once.
         """
         wanted = wanted_window(_VIEW, 500_000, _POLICY)
         claim = Claim(
@@ -121,13 +121,13 @@
 
 
 class TestUrgency:
-    """An outage of eight seconds in which a quarter of what is asked for is held.
+    """Outage of eight seconds in which the held tokens cover a quarter of the demand.
 
-    Each second 30 short questions of 1,000 tokens and 16 long documents of 9,000 are asked.
+    Each second there are 30 short questions of 1,000 tokens and 16 long documents of 9,000 tokens.
     """
 
     def play(self, *, by_urgency: bool) -> tuple[float, float]:
-        """Return which parts of the questions and of the documents are served."""
+        """Return the served shares of the questions and of the documents."""
         demand = BudgetDemand()
         held = HeldBudget(
             BudgetName("b"), limit_tokens=350_000, opening=Opening(1.0, all_claimed=True)
@@ -147,7 +147,7 @@
         return served[0] / asked[0], served[1] / asked[1]
 
     def test_short_questions_are_served_through_an_outage(self) -> None:
-        """Served of short questions and long documents: 26 and 25 % before, 100 and 8 % now."""
+        """Served questions and documents: 26 and 25 % without the reserve, 100 and 8 % with it."""
         before, now = self.play(by_urgency=False), self.play(by_urgency=True)
         assert before[0] < 0.5
         assert now[0] > 0.95
@@ -159,10 +159,10 @@
         assert demand.kept_tokens(1, Supply(0.0), 0.0) == 0
 
     def test_a_small_request_leaves_less_for_larger_ones(self) -> None:
-        """Symptom: labels are refused for the sake of documents that the rest would not serve.
+        """Guards against labels refused for documents that the remaining tokens cannot serve.
 
-        Sequence: in an outage one document of 13,000 tokens is asked each second, and labels of
-        2,000, which are less urgent. Cause: all that documents ask for was kept from them.
+        In an outage, a document of 13,000 tokens and a label of 2,000 tokens and lower priority
+        are requested each second. The whole demand of the documents was withheld from the labels.
         """
         demand = BudgetDemand()
         for second in range(20):
@@ -173,11 +173,11 @@
         assert abs(kept - all_kept * 2 / 13) < 10
 
     def test_locked_tokens_are_kept_first(self) -> None:
-        """Symptom: in the first seconds of an outage documents are refused though enough is held.
+        """Guards against documents refused early in an outage although enough tokens are held.
 
-        Sequence: the store falls silent; of 60,000 tokens held 20,000 may be spent, the others in
-        4 s; questions take 2,000 a second. Cause: 18,000 were kept of the 20,000 for the outage's
-        nine seconds, though the 40,000 will serve the last five of them.
+        The store becomes unreachable. Of 60,000 held tokens 20,000 may be spent now and the others
+        in 4 s; questions take 2,000 per second. 18,000 of the 20,000 were withheld for the nine
+        seconds of the outage, although the other 40,000 serve the last five seconds.
         """
         supply = Supply(0.1, locked_tokens=40_000, unlocks_in_s=4.0)
         assert supply.kept_tokens(2_000) == 8_000
--- a/mothstand/tests/test_claims.py
+++ b/mothstand/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""Claims, windows, loans and what a successor may give back."""
+"""Tests of claims, windows, loans, and renewals as proof for a successor."""
 
 from __future__ import annotations
 
@@ -49,11 +49,11 @@
         assert book.fits((claim(_ME, 10),), {_BUDGET: 50})
 
     def test_lost_answer_of_a_lowered_claim(self) -> None:
-        """Symptom: two instances spend the same tokens.
+        """Guards against two instances that spend the same tokens.
 
-        Sequence: an instance lowers its claim, the answer is lost, it reads its old claim and
-        spends up to it; then the append is done late and another instance claims the rest.
-        Cause: the claim last read was taken for the one in force.
+        An instance lowers its claim and the answer is lost. It reads its old claim and spends up
+        to it; then the append arrives late, and another instance claims the freed tokens. The claim
+        last read is not necessarily the one in force.
         """
         book = book_with(claim(_ME, 100))
         book.begin((claim(_ME, 30),))
@@ -80,13 +80,12 @@
         assert held.reserve(21) is not None
 
     def test_no_renewal_while_more_than_the_window_is_used(self) -> None:
-        """Symptom: more is spent than was paid, after a death.
+        """Guards against spend above the prepaid tokens; found by random histories, seed 2706.
 
-        Sequence: a process spends past its window in an outage; back in touch it renews, without
-        a new window; it dies, and its successor, within the time, gives back what lies past the
-        window, though some of it was used.
-        Cause: the window was compared with the last one whose answer came, not with the one in
-        the store, and taken for unchanged. Found by random histories, seed 2706.
+        A process spends beyond its window in an outage, then renews without a new window and dies.
+        Its successor starts soon enough to give back the tokens beyond the window, although some
+        of them were used. The window was taken as unchanged because it was compared with the last
+        confirmed one, not with the one in the store.
         """
         book = book_with(claim(_ME, 31, window=10))
         book.open(_ALL)
@@ -119,11 +118,11 @@
         assert (held.spent_tokens, held.available_tokens) == (30, 70)
 
     def test_what_is_in_doubt_is_neither_free_nor_recorded_as_spent(self) -> None:
-        """Symptom: a request is refused for good (402) though its budget covers it.
+        """Guards against a final refusal (402) of a request that its budget covers.
 
-        Sequence: callers leave before any event of their answers; what their prompts may have
-        consumed is counted as if it had been.
-        Cause: one sum was both the limit on spend and the proof that a budget is used up.
+        Callers disconnect before any event of their answers, and what their prompts have possibly
+        consumed was counted as consumed. One sum was both the limit on spend and the proof that a
+        budget is used up.
         """
         held = self.held(100)
         for usage in (Usage(30, 30), Usage(20, 0)):
@@ -143,7 +142,7 @@
     _PEERS = tuple(Peer(name, f"{name}-1", f"{name}:1") for name in "abcde")
 
     def table(self) -> ClaimTable:
-        """Return claims of five holders; `c` has not written for long, `d` has nothing left."""
+        """Return claims of five holders; the claim of `c` is stale, `d` has no tokens left."""
         table = ClaimTable()
         held_tokens = {"a": 50, "b": 700, "c": 900, "d": 0, "e": 60}
         for name, tokens in held_tokens.items():
@@ -171,10 +170,10 @@
 
 class TestLoans:
     def test_lost_answer_of_a_loan(self) -> None:
-        """Symptom: tokens are gone that nobody spent.
+        """Guards against tokens that are lost without being spent.
 
-        Sequence: a peer takes tokens out, its answer is lost, the borrower asks again.
-        Cause: the second call took out a second loan, and the first one was nobody's.
+        A lender gives tokens, its answer is lost, and the borrower asks again. The second call made
+        a second loan, and nobody could use the first one.
         """
         held = HeldBudget(_BUDGET, limit_tokens=100, window_tokens=100, base_tokens=100)
         loans = LoanBook()
@@ -183,10 +182,10 @@
         assert (first, again, held.available_tokens) == (40, 40, 60)
 
     def test_what_a_stopping_peer_leaves_is_taken_once(self) -> None:
-        """Symptom: more is spent than was paid.
+        """Guards against spend above the prepaid tokens.
 
-        Sequence: a peer that stops leaves tokens, its call comes twice.
-        Cause: the second call was taken for more tokens.
+        A stopping peer hands tokens over and its call arrives twice. The second call was applied as
+        another handover.
         """
         held = HeldBudget(_BUDGET)
         loans = LoanBook()
@@ -202,10 +201,10 @@
         assert LoanBook().lend(held, "x", kept_tokens=0, needed_tokens=10, extra_tokens=90) == 50
 
     def test_a_silent_peer_is_not_asked_for_a_while(self) -> None:
-        """Symptom: in a cut every request waits for the same dead peer's timeout.
+        """Guards against requests that each wait for the timeout of the same unreachable peer.
 
-        Sequence: a peer is cut off; each request that needs a loan asks it first.
-        Cause: the silence of the one call was not remembered for the next.
+        A peer is disconnected, and each request that needs a loan asked it first, because the
+        failure of one call was not remembered for the next.
         """
         peers = [Peer("b", "1", "b:1"), Peer("c", "1", "c:1")]
         table = book_with(claim(_OTHER, 60)).table
@@ -217,7 +216,10 @@
 
 
 class TestRenewals:
-    """A process dies at 100 s; its successor starts `gap` later; others renew each second."""
+    """A process dies at 100 s and its successor starts `gap_s` later.
+
+    Four other instances renew just before the death and just after the start.
+    """
 
     def log(self, gap_s: float, jumps_s: dict[str, float] | None = None) -> RenewalLog:
         jumps_s = jumps_s or {}
@@ -243,18 +245,17 @@
         assert self.proves(2.5)
 
     def test_how_long_the_dead_was_out_of_touch(self) -> None:
-        """The others' renewals were 3.3 s apart, of which the successor's start took 0.1 s."""
+        """The renewals of others are 3.3 s apart, of which the successor's start took 0.1 s."""
         log = self.log(2.5)
         proven_s = log.longest_gap_s(self.last, self.start, self.started_s, 0.1)
         assert proven_s is not None
         assert 3.2 <= proven_s < 3.5
 
     def test_the_start_of_the_successor_does_not_count(self) -> None:
-        """Symptom: what a machine held that was dark for 3.5 s stays stranded for the day.
+        """Guards against tokens stranded for a day by a machine without power for 3.5 s.
 
-        Sequence: it loses power; its successor's first renewal comes 0.7 s after its start.
-        Cause: the time that the successor took to start was counted as time in which its
-        predecessor could have spent.
+        The first renewal of the successor comes 0.7 s after its start. The time that the successor
+        took to start was counted as time in which its predecessor could have spent.
         """
         log = self.log(3.6)
         slow_s = log.longest_gap_s(self.last, self.start, self.started_s, 0.0)
@@ -266,11 +267,11 @@
         assert not self.proves(UNLOCK_S + 0.1)
 
     def test_clock_that_jumps_back_while_the_process_is_down(self) -> None:
-        """Symptom: tokens that a process spent past its window are given back and spent again.
+        """Guards against tokens that are spent, given back and spent again.
 
-        Sequence: it is cut off for long, spends past its window and dies; the time of day of its
-        machine jumps back, and its successor takes the time since the last renewal for short.
-        Cause: one machine's time of day was believed.
+        A process is disconnected for long, spends beyond its window and dies. The time of day of
+        its machine jumps back, so the time since the last renewal looks short to its successor. The
+        clock of a single machine was relied on.
         """
         assert not self.proves(8.0, {"a": -6.0})
 
--- a/mothstand/tests/test_escrow.py
+++ b/mothstand/tests/test_escrow.py
@@ -1,4 +1,4 @@
-"""The escrow policy."""
+"""Tests of the escrow policy."""
 
 from __future__ import annotations
 
@@ -50,10 +50,9 @@
         assert 45 < demand.rate_tokens_per_s(99.0) < 55
 
     def test_bounds_are_no_demand(self) -> None:
-        """Symptom: data centres hold more than twice what they spend.
+        """Guards against data centres that hold more than twice what they spend.
 
-        Sequence: requests reserve 700 tokens each and use 300.
-        Cause it guards against: taking reservations for spend.
+        Requests reserve 700 tokens each and use 300; reservations must not count as spend.
         """
         demand = Demand(10.0)
         demand.note_bound(700)
@@ -81,10 +80,10 @@
         assert ask_tokens(POLICY, replace(VIEW, ungranted_tokens=60)) == 60
 
     def test_no_refill_of_a_small_part(self) -> None:
-        """Symptom: an append for nearly every request near a budget's end.
+        """Guards against an append for nearly every request near a budget's end.
 
-        Sequence: the target is out of reach, so free tokens are always below it.
-        Cause it guards against: asking whenever less than the target is free.
+        The target cannot be reached there, so the free tokens are always below it. Being below the
+        target must not be enough to ask.
         """
         near_end = replace(VIEW, free_tokens=450, ungranted_tokens=500, largest_tokens=20)
         assert ask_tokens(POLICY, near_end) == 0
@@ -104,10 +103,9 @@
 
 class TestShares:
     def test_a_share_serves_a_few_requests(self) -> None:
-        """Symptom: a promoted witness refuses everything though a share was held back for it.
+        """Guards against a promoted witness that refuses everything although it has a share.
 
-        Sequence: a small grant, of which 5 % is less than one request.
-        Cause it guards against: a share by percent alone.
+        Of a small grant, 5 % is less than one request, so a percentage alone is not enough.
         """
         assert promotion_share_tokens(5, 2000, 100) == 400
         assert promotion_share_tokens(5, 800, 100) == 200
@@ -117,10 +115,10 @@
 
 class TestGivingWay:
     def test_all_but_one_give_way(self) -> None:
-        """Symptom: a budget's last tokens lie in three data centres, none enough for a request.
+        """Guards against last tokens of a budget that no data centre can use.
 
-        Sequence: all three wait, each keeps its rest for itself.
-        Cause it guards against: no data centre giving while it waits itself.
+        Three data centres wait for escrow, and each holds too few tokens for a request. A waiting
+        data centre must return its tokens too.
         """
         places = [DataCentre(name) for name in ("sto-a", "sto-b", "sto-c")]
         giving = [gives_way(BudgetName("lund"), place, places) for place in places]
@@ -140,10 +138,10 @@
         assert surplus_tokens(POLICY, replace(VIEW, free_tokens=10_000), 0) == 0
 
     def test_more_than_one_request_at_a_time(self) -> None:
-        """Symptom: one data centre holds most of a budget while others wait request by request.
+        """Guards against a data centre that holds most of a budget while others wait repeatedly.
 
-        Sequence: an ask for 500 tokens gets nothing; another data centre has 60,000 free.
-        Cause it guards against: giving back just what waits at the moment.
+        An ask for 500 tokens gets nothing while another data centre has 60,000 free tokens. It must
+        return more than what waits at the moment.
         """
         assert surplus_tokens(POLICY, replace(VIEW, free_tokens=60_000), 500) == 29_990
 
--- a/mothstand/tests/test_leadership.py
+++ b/mothstand/tests/test_leadership.py
@@ -1,4 +1,4 @@
-"""Who opens an epoch, and when."""
+"""Tests of the decision to open an epoch, and of the membership view."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def membership_of(me: Member, *alive: Member) -> Membership:
-    """Return the beliefs of one who sees just these alive."""
+    """Return the membership view of a member to which only `alive` respond."""
     membership = Membership(me, PLACE, suspect_after_s=1.0)
     for member in alive:
         membership.peers[member.name] = PeerState(member.name, member.address, PLACE, NOW_S, member)
@@ -43,10 +43,10 @@
         assert plan_epoch(fold, membership_of(ORDER[0], *ORDER[1:]), NOW_S) is None
 
     def test_witness_takes_over_first(self) -> None:
-        """Symptom: after a takeover the old epoch's rest comes back late.
+        """Guards against a late return of the old epoch's unspent tokens after a takeover.
 
-        Sequence: the leaseholder dies, a third instance comes first by rendezvous hash.
-        Cause it guards against: passing by the witness, which alone can vouch for the epoch.
+        The leaseholder dies, and a third instance comes first by rendezvous hash. The witness must
+        come before it, since only the witness can certify the epoch's spend.
         """
         fold = fold_with(ORDER[0], ORDER[2])
         plan = plan_epoch(fold, membership_of(ORDER[2], ORDER[1]), NOW_S)
@@ -65,10 +65,10 @@
         assert (plan.prior_epoch, plan.witness) == (Epoch(5), ORDER[2])
 
     def test_restarted_holder_is_another(self) -> None:
-        """Symptom: a shard has no leader after a quick restart.
+        """Guards against a shard without a leader after a quick restart.
 
-        Sequence: the leaseholder restarts at its address and answers heartbeats.
-        Cause it guards against: taking an address for an identity.
+        The leaseholder restarts at its address and answers heartbeats. The same address does not
+        mean the same process.
         """
         reborn = Member(ORDER[0].name, "reborn", ORDER[0].address)
         plan = plan_epoch(fold_with(ORDER[0], ORDER[1]), membership_of(ORDER[1], reborn), NOW_S)
@@ -91,10 +91,9 @@
     PACE = ProbePace(partner_s=0.25, others_per_s=2.0)
 
     def test_rate_does_not_grow_with_the_fleet(self) -> None:
-        """Symptom: control costs more and more as instances are added.
+        """Guards against probes that increase with the number of instances.
 
-        Sequence: 100 peers, 2 of them partners, 10 seconds.
-        Cause it guards against: probing everybody as often as those who matter.
+        Of 100 peers 2 are partners, for 10 seconds. The others must be probed less often.
         """
         beliefs = Membership(ORDER[0], PLACE, suspect_after_s=1.0)
         beliefs.listed([PeerState(f"p{n}", "a", PLACE, 0.0) for n in range(100)], 0.0)
@@ -108,10 +107,10 @@
         assert len(sent) <= 80 + 20 + 1
 
     def test_rarely_probed_is_suspected_late(self) -> None:
-        """Symptom: live peers are taken for dead in a large data centre.
+        """Guards against live peers that count as dead in a large data centre.
 
-        Sequence: a peer that is probed every 10 s has not answered for 2 s.
-        Cause it guards against: one suspicion time for every probing interval.
+        A peer that is probed every 10 s has not answered for 2 s. The time until suspicion must
+        depend on the probing interval.
         """
         beliefs = membership_of(ORDER[0], ORDER[1])
         beliefs.peers[ORDER[1].name].interval_s = 10.0
--- a/mothstand/tests/test_ledger_fold.py
+++ b/mothstand/tests/test_ledger_fold.py
@@ -1,4 +1,4 @@
-"""The fold of a ledger shard."""
+"""Tests of the fold of a ledger shard."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class Stream:
-    """Numbers records and applies them."""
+    """Writer that numbers records and applies them to a fold."""
 
     def __init__(self) -> None:
         self.fold = LedgerFold(Shard(0))
@@ -47,7 +47,7 @@
         return self.fold.apply(self.offset, record)
 
     def pay(self, tokens: int) -> Outcome:
-        """Pay up to a total."""
+        """Raise the paid tokens to a total."""
         return self.apply(BudgetPaid(self.next_id("operator"), LUND, tokens))
 
     def open(
@@ -91,20 +91,20 @@
 
 class TestPaying:
     def test_totals_are_cumulative(self, stream: Stream) -> None:
-        """Symptom: a replayed or overtaken top-up counts twice, or takes tokens away.
+        """Guards against a repeated or late top-up that counts twice or removes tokens.
 
-        Sequence: 1,500 and then an older 1,200 arrive.
-        Cause it guards against: adding amounts in place of keeping the highest total.
+        A total of 1,500 arrives and then an older one of 1,200; the highest total counts, and
+        amounts are not added up.
         """
         assert stream.pay(1500).accepted
         assert not stream.pay(1200).accepted
         assert stream.fold.paid_tokens[LUND] == 1500
 
     def test_record_appended_twice_counts_once(self, stream: Stream) -> None:
-        """Symptom: a grant counts twice.
+        """Guards against a grant that counts twice.
 
-        Sequence: the answer to an append is lost, the writer appends the record again.
-        Cause it guards against: taking offsets for identity.
+        The answer to an append is lost and the writer appends the record again. A record is
+        identified by its id, not by its offset.
         """
         ask = GrantAsk(LUND, 100, 0, 0, 0)
         record = GrantAsked(stream.next_id(HOLDER.incarnation), Epoch(2), (ask,))
@@ -127,10 +127,10 @@
         assert LUND not in stream.fold.unmet
 
     def test_superseded_epoch_gets_nothing(self, stream: Stream) -> None:
-        """Symptom: a leaseholder that lost its epoch gets new escrow.
+        """Guards against new escrow for a leaseholder that lost its epoch.
 
-        Sequence: it asked before, its ask lands after its successor's epoch.
-        Cause it guards against: deciding by who asks in place of by the current epoch.
+        Its ask is appended after the epoch of its successor. The current epoch decides, not the
+        author of the ask.
         """
         stream.open(prior=2, holder=WITNESS, witness=None)
         assert not stream.ask(2, 100).accepted
@@ -138,10 +138,10 @@
 
 class TestTakeover:
     def test_one_of_two_wins(self, stream: Stream) -> None:
-        """Symptom: two instances lead one shard in one data centre.
+        """Guards against two leaders of one shard in one data centre.
 
-        Sequence: both take the leaseholder for dead and open the next epoch.
-        Cause it guards against: accepting an epoch whose prior one is no longer current.
+        Two instances both consider the leaseholder dead and open the next epoch. The second one
+        must be refused, as its prior epoch is no longer current.
         """
         assert stream.open(prior=2, holder=WITNESS, witness=None).accepted
         assert not stream.open(prior=2, holder=HOLDER, witness=None).accepted
@@ -156,20 +156,19 @@
         assert stream.fold.ungranted_tokens(LUND) == 600
 
     def test_witness_alone_leaves_the_allowance_held(self, stream: Stream) -> None:
-        """Symptom: overspend by a leaseholder that was cut off from its witness only.
+        """Guards against overspend by a leaseholder that is disconnected only from its witness.
 
-        Sequence: the witness seals and closes, the holder goes on with its allowance.
-        Cause it guards against: giving back what the silent side may be spending.
+        The witness seals and closes while the holder continues to spend its allowance. What a side
+        that has not closed possibly spends must not be freed.
         """
         stream.close(2, Side.WITNESS, 150, 0)
         assert stream.fold.ungranted_tokens(LUND) == 1000 - 150 - 20
 
     def test_holder_alone_leaves_the_promotion_share_held(self, stream: Stream) -> None:
-        """Symptom: overspend by a witness that promoted itself while cut off from the log.
+        """Guards against overspend by a witness that was promoted while disconnected from the log.
 
-        Sequence: the holder opens an epoch with a new witness and closes the old one; the old
-        witness, unaware, spends its share.
-        Cause it guards against: letting a holder replace its witness and keep the whole grant.
+        The holder opens an epoch with a new witness and closes the old one, while the old witness
+        spends its promotion share. A holder that replaces its witness must not free that share.
         """
         stream.close(2, Side.HOLDER, 150, 5)
         assert stream.fold.ungranted_tokens(LUND) == 1000 - 150 - 5 - 100
@@ -187,10 +186,10 @@
         assert stream.fold.ungranted_tokens(LUND) == 1000 - 120 - 5
 
     def test_restarted_witness_is_not_heard(self, stream: Stream) -> None:
-        """Symptom: overspend after a witness was replaced at its address.
+        """Guards against overspend after a witness restarted at its address.
 
-        Sequence: the new process, which knows nothing, closes the epoch with nothing spent.
-        Cause it guards against: taking an address for an identity.
+        The new process has no account of the epoch and closes it with nothing spent. The same
+        address does not mean the same process.
         """
         reborn = Member(WITNESS.name, "sto-a-2:y", WITNESS.address)
         assert not stream.close(2, Side.WITNESS, 0, 0, author=reborn).accepted
@@ -219,11 +218,10 @@
         assert not self._return(stream, 401).accepted
 
     def test_after_the_close_is_refused(self, stream: Stream) -> None:
-        """Symptom: tokens given back count twice.
+        """Guards against returned tokens that count twice.
 
-        Sequence: the holder reserves a return, its witness closes the epoch with that return
-        counted as spent, the return lands.
-        Cause it guards against: applying a return to an epoch whose spend is reported.
+        The holder reserves a return, its witness closes the epoch with that return counted as
+        spent, and then the return is appended. It must not apply once spend is reported.
         """
         stream.close(2, Side.WITNESS, 300, 0)
         free = stream.fold.ungranted_tokens(LUND)
@@ -233,10 +231,10 @@
 
 class TestSnapshots:
     def test_loaded_state_decides_alike(self, stream: Stream) -> None:
-        """Symptom: two instances disagree on what is free, one of them having started later.
+        """Guards against state that is missing in a snapshot.
 
-        Sequence: a snapshot is taken in mid-stream, one reader goes on, another loads it.
-        Cause it guards against: state that a snapshot leaves out.
+        A snapshot is taken; one reader continues and another loads the snapshot. Both must agree on
+        the free tokens.
         """
         stream.close(2, Side.WITNESS, 150, 0)
         stream.open(prior=2, holder=WITNESS, witness=None)
@@ -290,10 +288,10 @@
         assert stream.fold.ungranted_tokens(LUND) == 1000 - 200
 
     def test_open_epoch_is_not_released(self, stream: Stream) -> None:
-        """Symptom: tokens are spent twice, once by a leaseholder that is alive.
+        """Guards against tokens that are spent twice, once by a live leaseholder.
 
-        Sequence: an operator releases the wrong epoch.
-        Cause it guards against: taking an operator's word for what the log knows better.
+        An operator releases the wrong epoch. The log shows that it is current, which overrides the
+        operator's statement.
         """
         assert not self.release(stream, 2, 0).accepted
         assert stream.fold.ungranted_tokens(LUND) == 600
@@ -305,10 +303,10 @@
         assert not self.release(stream, 2, spent).accepted
 
     def test_side_that_wakes_after_a_release(self, stream: Stream) -> None:
-        """Symptom: a budget is overspent by what a process spent without its witness.
+        """Guards against overspend by what a process spent without its witness.
 
-        Sequence: an epoch is released, its leaseholder was only paused, wakes and closes its side.
-        Cause it guards against: lowering the declared sum by one part of it.
+        An epoch is released while its leaseholder is only paused; the leaseholder resumes and
+        closes its side. The declared sum must not be lowered by one side's part of it.
         """
         stream.open(prior=2, holder=WITNESS, witness=None)
         stream.close(2, Side.WITNESS, 150, 0)
