--- a/mothstand/core/escrow.py
+++ b/mothstand/core/escrow.py
@@ -52,7 +52,7 @@
     demand_window_s: float = 60.0
 
 
-class Demand:
+class SpendEstimator:
     """Estimates one budget's spend rate at one leaseholder, as an exponentially decaying rate.
 
     Parameters
@@ -69,7 +69,7 @@
         self._at_s = 0.0
         self.largest_tokens = 0
 
-    def add(self, used_tokens: int, now_s: float) -> None:
+    def add_usage(self, used_tokens: int, now_s: float) -> None:
         """Add a request's usage at `now_s`."""
         self._decay(now_s)
         self._tokens += used_tokens
@@ -109,20 +109,20 @@
     rate_tokens_per_s: float
     largest_tokens: int
     data_centres: int
-    witnessed: bool
+    has_witness: bool
 
 
 def target_tokens(policy: EscrowPolicy, view: EscrowView) -> int:
     """Return how many free tokens the epoch should hold."""
     target = view.rate_tokens_per_s * policy.ride_through_s
-    if not view.witnessed:
+    if not view.has_witness:
         target = target * policy.unwitnessed_percent / 100
     # Enough for a few of the largest requests; otherwise a budget with little demand would ask
     # for escrow with every request.
-    return int(max(target, _HANDFUL * view.largest_tokens))
+    return int(max(target, _MIN_LARGE_REQUESTS * view.largest_tokens))
 
 
-def ask_tokens(policy: EscrowPolicy, view: EscrowView, *, along: bool = False) -> int:
+def ask_tokens(policy: EscrowPolicy, view: EscrowView, *, shares_append: bool = False) -> int:
     """Return how many tokens to ask the log for; 0 when there is no need yet.
 
     Parameters
@@ -131,19 +131,23 @@
         Whether the ask would share another budget's append and so need none of its own.
     """
     target = target_tokens(policy, view)
-    short = view.needed_tokens - view.free_tokens
-    below_percent = _ALONG_BELOW_PERCENT if along else policy.refill_below_percent
-    if short <= 0 and view.free_tokens * 100 >= target * below_percent:
+    shortfall = view.needed_tokens - view.free_tokens
+    below_percent = _SHARED_APPEND_BELOW_PERCENT if shares_append else policy.refill_below_percent
+    if shortfall <= 0 and view.free_tokens * 100 >= target * below_percent:
         return 0
     share = view.ungranted_tokens * policy.end_share_percent // (100 * view.data_centres)
-    handful = _HANDFUL * view.largest_tokens
-    wanted = min(target - view.free_tokens, max(share, min(view.ungranted_tokens, handful)))
-    if short <= 0 and not along and wanted * _SMALL_REFILL < min(view.free_tokens, target // 2):
+    floor = _MIN_LARGE_REQUESTS * view.largest_tokens
+    wanted = min(target - view.free_tokens, max(share, min(view.ungranted_tokens, floor)))
+    if (
+        shortfall <= 0
+        and not shares_append
+        and wanted * _MIN_REFILL_DIVISOR < min(view.free_tokens, target // 2)
+    ):
         # Near the budget's end the target cannot be reached, and asking for ever smaller amounts
         # would cost an append for nearly every request.
         return 0
     # Waiting requests are asked for in full: the fold grants no more than is ungranted.
-    return max(wanted, short, 0)
+    return max(wanted, shortfall, 0)
 
 
 def promotion_share_tokens(percent: int, granted_tokens: int, largest_tokens: int) -> int:
@@ -154,11 +158,13 @@
     """
     if percent == 0:
         return 0
-    floor = min(_SHARE_REQUESTS * largest_tokens, granted_tokens // 4)
+    floor = min(_MIN_PROMOTION_REQUESTS * largest_tokens, granted_tokens // 4)
     return max(granted_tokens * percent // 100, floor)
 
 
-def gives_way(budget: BudgetName, here: DataCentre, waiting: Iterable[DataCentre]) -> bool:
+def should_give_all(
+    budget: BudgetName, data_centre: DataCentre, waiting: Iterable[DataCentre]
+) -> bool:
     """Return whether a data centre that waits for escrow should return all its free tokens.
 
     At a budget's end each data centre may hold too few tokens for its next request, although their
@@ -166,10 +172,10 @@
     determines which one, so all data centres decide alike.
     """
     order = rank(waiting, budget)
-    return here in order and here != order[0]
+    return data_centre in order and data_centre != order[0]
 
 
-def surplus_tokens(policy: EscrowPolicy, view: EscrowView, unmet_tokens: int) -> int:
+def surplus_tokens(policy: EscrowPolicy, view: EscrowView, unfulfilled_tokens: int) -> int:
     """Return how many free tokens to return for another data centre's unfulfilled ask.
 
     The result is half of the free tokens beyond the demand of the next seconds, so that two data
@@ -177,23 +183,23 @@
     covers only the requests that wait now: a move takes a second and two appends, too much for
     each single request.
     """
-    if unmet_tokens <= 0:
+    if unfulfilled_tokens <= 0:
         return 0
-    soon_tokens = max(int(view.rate_tokens_per_s * _KEEP_S), view.needed_tokens)
-    return max(0, (view.free_tokens - soon_tokens) // 2)
+    withheld_tokens = max(int(view.rate_tokens_per_s * _WITHHELD_DEMAND_S), view.needed_tokens)
+    return max(0, (view.free_tokens - withheld_tokens) // 2)
 
 
 #: Number of large requests that the target covers at least.
-_HANDFUL = 4
+_MIN_LARGE_REQUESTS = 4
 
 #: Number of large requests that a promotion share covers, if the grant is large enough.
-_SHARE_REQUESTS = 4
+_MIN_PROMOTION_REQUESTS = 4
 
 #: A budget whose ask shares another's append asks below this percentage of its target.
-_ALONG_BELOW_PERCENT = 97
+_SHARED_APPEND_BELOW_PERCENT = 97
 
 #: A refill below the free tokens divided by this is not worth an append.
-_SMALL_REFILL = 4
+_MIN_REFILL_DIVISOR = 4
 
 #: Seconds of own demand that are withheld when another data centre asks.
-_KEEP_S = 2.0
+_WITHHELD_DEMAND_S = 2.0
--- a/mothstand/core/urgency.py
+++ b/mothstand/core/priority_reserve.py
@@ -14,10 +14,10 @@
 from .demand import Demand
 
 #: Longest usual outage of the store; tokens for higher priorities are withheld until its end.
-OUTAGE_S = 9.0
+MAX_USUAL_OUTAGE_S = 9.0
 
 #: Minimum time to withhold tokens for, because the end of an outage is noticed late.
-_LEAST_S = 2.0
+_MIN_SHORTAGE_S = 2.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,25 +40,29 @@
     prepaid tokens.
     """
 
-    silent_s: float
+    store_silent_s: float
     locked_tokens: int = 0
     unlocks_in_s: float = 0.0
 
     @property
-    def short_for_s(self) -> float:
+    def shortage_s(self) -> float:
         """Time for which to withhold tokens for higher priorities; 0 if there is no shortage."""
-        return max(_LEAST_S, OUTAGE_S - self.silent_s) if self.silent_s > 0 else 0.0
+        return (
+            max(_MIN_SHORTAGE_S, MAX_USUAL_OUTAGE_S - self.store_silent_s)
+            if self.store_silent_s > 0
+            else 0.0
+        )
 
-    def kept_tokens(self, urgent_tokens_per_s: float) -> int:
+    def withheld_tokens(self, higher_priority_tokens_per_s: float) -> int:
         """Return how many of the tokens that may be spent now must be left.
 
         These must last until the locked tokens unlock, and both together until the end of the
         shortage. Without counting the locked tokens, requests would be refused in the first
         seconds of an outage although enough tokens for the others are about to unlock.
         """
-        for_s = self.short_for_s
-        until_unlocked = urgent_tokens_per_s * min(for_s, self.unlocks_in_s)
-        until_end = urgent_tokens_per_s * for_s - self.locked_tokens
+        shortage_s = self.shortage_s
+        until_unlocked = higher_priority_tokens_per_s * min(shortage_s, self.unlocks_in_s)
+        until_end = higher_priority_tokens_per_s * shortage_s - self.locked_tokens
         return max(0, int(max(until_unlocked, until_end)))
 
 
@@ -69,12 +73,12 @@
     total: Demand = field(default_factory=Demand)
     by_priority: dict[int, Demand] = field(default_factory=dict)
 
-    def ask(self, tokens: int, priority: int, now_s: float) -> None:
+    def add_request(self, tokens: int, priority: int, now_s: float) -> None:
         """Count a request."""
-        self.total.ask(tokens, now_s)
-        self.by_priority.setdefault(priority, Demand()).ask(tokens, now_s)
+        self.total.add_request(tokens, now_s)
+        self.by_priority.setdefault(priority, Demand()).add_request(tokens, now_s)
 
-    def kept_tokens(self, priority: int, supply: Supply, now_s: float) -> int:
+    def withheld_tokens(self, priority: int, supply: Supply, now_s: float) -> int:
         """Return the tokens that requests of a priority must leave for higher priorities.
 
         Notes
@@ -84,15 +88,20 @@
         labels were refused for documents that the remaining tokens could not have served, and
         nobody used these tokens.
         """
-        if supply.short_for_s <= 0:
+        if supply.shortage_s <= 0:
             return 0
-        mine = self.by_priority.get(priority)
-        urgent = [d for p, d in self.by_priority.items() if p < priority]
-        return supply.kept_tokens(sum(d.rate(now_s) * _weight(mine, d) for d in urgent))
+        own_demand = self.by_priority.get(priority)
+        higher_priority_demands = [d for p, d in self.by_priority.items() if p < priority]
+        return supply.withheld_tokens(
+            sum(
+                d.rate_tokens_per_s(now_s) * _withheld_share(own_demand, d)
+                for d in higher_priority_demands
+            )
+        )
 
 
-def _weight(mine: Demand | None, urgent: Demand) -> float:
+def _withheld_share(own_demand: Demand | None, higher_priority_demand: Demand) -> float:
     """Return the part of a higher-priority demand to withhold: the ratio of sizes, at most 1."""
-    if mine is None or not mine.mean_tokens or not urgent.mean_tokens:
+    if own_demand is None or not own_demand.mean_tokens or not higher_priority_demand.mean_tokens:
         return 1.0
-    return min(1.0, mine.mean_tokens / urgent.mean_tokens)
+    return min(1.0, own_demand.mean_tokens / higher_priority_demand.mean_tokens)
