--- a/mothstand/core/accounts.py
+++ b/mothstand/core/accounts.py
@@ -90,7 +90,7 @@
     Parameters
     ----------
     is_sealed
-        Whether the witness has stopped acknowledging; this batch was not applied.
+        Whether the witness has stopped acknowledging, including this batch.
     rejected
         Numbers of the reservations that exceed what the witness may certify.
     """
@@ -228,8 +228,8 @@
         if reservation is None or reservation.lane is not Lane.WITNESSED:
             return reservation
         if reservation in self._unsent_reservations:
-            # It is never sent, so the settlements in a batch belong to earlier batches and can be
-            # applied before its reservations.
+            # The reservation is not sent, so the settlements in a batch always belong to earlier
+            # batches and can be applied before its reservations.
             self._unsent_reservations.remove(reservation)
         else:
             self._unsent_settlements.append(settlement)
--- a/mothstand/core/escrow.py
+++ b/mothstand/core/escrow.py
@@ -169,7 +169,7 @@
 
     At a budget's end each data centre may hold too few tokens for its next request, although their
     sum would be enough. So all waiting data centres but one return theirs. The budget's name
-    determines which one, so all data centres decide alike.
+    determines which one, so all data centres make the same choice.
     """
     order = rank(waiting, budget)
     return data_centre in order and data_centre != order[0]
--- a/mothstand/core/fleet.py
+++ b/mothstand/core/fleet.py
@@ -4,8 +4,8 @@
 conditional append would compete with 70 others, and each instance would read what all others
 write. So a few instances of each data centre claim, and the others borrow from them, with one call
 within the data centre per request. Claimants are the machines with the most capacity; a rendezvous
-hash decides between equal ones. So all instances choose alike without communication, and the death
-of a claimant replaces only that claimant.
+hash decides between equal ones. So all instances make the same choice without communication, and
+the death of a claimant replaces only that claimant.
 """
 
 from __future__ import annotations
@@ -143,8 +143,8 @@
     def lenders(self, shard: Shard) -> list[Peer]:
         """Return the other claimants of a shard to ask for loans, in order.
 
-        Claimants of this data centre come first. The order among them is different for each
-        instance; otherwise all would ask the same claimant first.
+        Claimants of this data centre come first. Otherwise the order differs between instances, so
+        that they don't all ask the same claimant first.
         """
         local_name = self.local_member.peer.instance
         others = [m for m in self.claimants(shard) if m.peer.instance != local_name]
--- a/mothstand/core/ledger_fold.py
+++ b/mothstand/core/ledger_fold.py
@@ -86,7 +86,7 @@
         return None if epoch is None else self.epochs[epoch]
 
     def retired_tokens(self, budget: BudgetName) -> int:
-        """Return what the epochs consumed that are retained only as a sum."""
+        """Return the total consumed by the epochs that are retained only as a sum."""
         return self._retired_tokens.get(budget, 0)
 
     def ungranted_tokens(self, budget: BudgetName) -> int:
--- a/mothstand/core/renewals.py
+++ b/mothstand/core/renewals.py
@@ -22,9 +22,9 @@
     from .loans import Peer
 
 #: Seconds without contact to the store after which a process may spend its whole claims. Long
-#: enough to prove the death of a machine that is without power for 3.5 s, at three renewals per
-#: second: 0.35 s since the last one, and as much before and after for the renewals of others. Each
-#: additional second is one more second in which an outage is served only from the windows.
+#: enough that the successor on a machine without power for 3.5 s can prove a shorter gap, at three
+#: renewals per second: 0.35 s since the last one, and as much before and after for the renewals of
+#: others. Each additional second is one more in which an outage is served only from the windows.
 UNLOCK_S = 4.5
 
 #: Seconds without contact to the store after which windows begin to open. Renewals are written
@@ -61,8 +61,8 @@
         """Return the tokens of a claim that may be spent."""
         if self.is_full:
             return claimed
-        # A claim may be lowered below its window. If the window were reduced to the claim, it would
-        # open less with each poll of a successor, until nothing above the base was left.
+        # The window is not reduced when the claim is lowered below it. Otherwise it would open less
+        # with each poll of a successor, until nothing above the base was left.
         return min(claimed, base + int((window - base) * self.window_share))
 
 
--- a/mothstand/core/retry_budget.py
+++ b/mothstand/core/retry_budget.py
@@ -108,10 +108,10 @@
         del self._requests_s[: bisect_left(self._requests_s, oldest_s)]
 
     def _requests_count_from_s(self, granted_s: float) -> float:
-        """Return the time from which requests count in a window whose first retry was granted.
+        """Return the time from which requests count in a window, by its first retry's grant time.
 
-        That retry arrives within `delivery_s`, so the window begins at the latest then, and the
-        window before it `window_s` earlier.
+        That retry arrives within `delivery_s`, so the window begins by then, and the window before
+        it `window_s` earlier.
         """
         return granted_s + self.settings.delivery_s - self.settings.window_s
 
--- a/mothstand/tests/test_escrow.py
+++ b/mothstand/tests/test_escrow.py
@@ -121,9 +121,7 @@
         data centre must return its tokens too.
         """
         data_centres = [DataCentre(name) for name in ("sto-a", "sto-b", "sto-c")]
-        giving = [
-            should_give_all(BudgetName("lund"), place, data_centres) for place in data_centres
-        ]
+        giving = [should_give_all(BudgetName("lund"), site, data_centres) for site in data_centres]
         assert sorted(giving) == [False, True, True]
 
     def test_data_centre_that_does_not_wait_keeps_its_escrow(self) -> None:
--- a/mothstand/tests/test_leadership.py
+++ b/mothstand/tests/test_leadership.py
@@ -90,7 +90,7 @@
 
 
 class TestProbing:
-    PACE = ProbeRates(partner_interval_s=0.25, other_probes_per_s=2.0)
+    RATES = ProbeRates(partner_interval_s=0.25, other_probes_per_s=2.0)
 
     def test_probe_rate_does_not_grow_with_fleet(self) -> None:
         """Guards against probes that increase with the number of instances.
@@ -101,11 +101,11 @@
         membership.apply_listing(
             [PeerState(f"p{n}", "a", DATA_CENTRE, 0.0) for n in range(100)], 0.0
         )
-        membership.due_probes({"p0", "p1"}, self.PACE, 0.0)
+        membership.due_probes({"p0", "p1"}, self.RATES, 0.0)
         sent = [
             peer.name
             for step in range(1, 41)
-            for peer in membership.due_probes({"p0", "p1"}, self.PACE, step * 0.25)
+            for peer in membership.due_probes({"p0", "p1"}, self.RATES, step * 0.25)
         ]
         assert sent.count("p0") == 40
         assert len(sent) <= 80 + 20 + 1
