--- a/mothstand/tests/test_leadership.py
+++ b/mothstand/tests/test_leadership.py
@@ -1,4 +1,4 @@
-"""Who opens an epoch, and when."""
+"""Tests of the decision to open an epoch, and of the membership view."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def membership_of(local_member: Member, *alive: Member) -> Membership:
-    """Return the beliefs of one who sees just these alive."""
+    """Return the membership view of a member to which only `alive` respond."""
     membership = Membership(local_member, DATA_CENTRE, suspect_after_s=1.0)
     for member in alive:
         membership.peers[member.name] = PeerState(
@@ -45,10 +45,10 @@
         assert plan_epoch(fold, membership_of(ORDER[0], *ORDER[1:]), NOW_S) is None
 
     def test_witness_of_dead_holder_takes_over(self) -> None:
-        """Symptom: after a takeover the old epoch's rest comes back late.
+        """Guards against a late return of the old epoch's unspent tokens after a takeover.
 
-        Sequence: the leaseholder dies, a third instance comes first by rendezvous hash.
-        Cause it guards against: passing by the witness, which alone can vouch for the epoch.
+        The leaseholder dies, and a third instance comes first by rendezvous hash. The witness must
+        come before it, since only the witness can certify the epoch's spend.
         """
         fold = fold_with(ORDER[0], ORDER[2])
         plan = plan_epoch(fold, membership_of(ORDER[2], ORDER[1]), NOW_S)
@@ -67,10 +67,10 @@
         assert (plan.prior_epoch, plan.witness) == (Epoch(5), ORDER[2])
 
     def test_restarted_holder_is_replaced(self) -> None:
-        """Symptom: a shard has no leader after a quick restart.
+        """Guards against a shard without a leader after a quick restart.
 
-        Sequence: the leaseholder restarts at its address and answers heartbeats.
-        Cause it guards against: taking an address for an identity.
+        The leaseholder restarts at its address and answers heartbeats. The same address does not
+        mean the same process.
         """
         restarted = Member(ORDER[0].name, "reborn", ORDER[0].address)
         plan = plan_epoch(fold_with(ORDER[0], ORDER[1]), membership_of(ORDER[1], restarted), NOW_S)
@@ -90,32 +90,31 @@
 
 
 class TestProbing:
-    PACE = ProbeRates(partner_interval_s=0.25, other_probes_per_s=2.0)
+    RATES = ProbeRates(partner_interval_s=0.25, other_probes_per_s=2.0)
 
     def test_probe_rate_does_not_grow_with_fleet(self) -> None:
-        """Symptom: control costs more and more as instances are added.
+        """Guards against probes that increase with the number of instances.
 
-        Sequence: 100 peers, 2 of them partners, 10 seconds.
-        Cause it guards against: probing everybody as often as those who matter.
+        Of 100 peers 2 are partners, for 10 seconds. The others must be probed less often.
         """
         membership = Membership(ORDER[0], DATA_CENTRE, suspect_after_s=1.0)
         membership.apply_listing(
             [PeerState(f"p{n}", "a", DATA_CENTRE, 0.0) for n in range(100)], 0.0
         )
-        membership.due_probes({"p0", "p1"}, self.PACE, 0.0)
+        membership.due_probes({"p0", "p1"}, self.RATES, 0.0)
         sent = [
             peer.name
             for step in range(1, 41)
-            for peer in membership.due_probes({"p0", "p1"}, self.PACE, step * 0.25)
+            for peer in membership.due_probes({"p0", "p1"}, self.RATES, step * 0.25)
         ]
         assert sent.count("p0") == 40
         assert len(sent) <= 80 + 20 + 1
 
     def test_rarely_probed_peer_is_suspected_later(self) -> None:
-        """Symptom: live peers are taken for dead in a large data centre.
+        """Guards against live peers that count as dead in a large data centre.
 
-        Sequence: a peer that is probed every 10 s has not answered for 2 s.
-        Cause it guards against: one suspicion time for every probing interval.
+        A peer that is probed every 10 s has not answered for 2 s. The time until suspicion must
+        depend on the probing interval.
         """
         membership = membership_of(ORDER[0], ORDER[1])
         membership.peers[ORDER[1].name].interval_s = 10.0
