--- a/mothstand/core/__init__.py
+++ b/mothstand/core/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions: pure functions and state of (state, event, now), without I/O."""
+"""Decision logic without I/O: pure functions and state machines with the time as an argument."""
--- a/mothstand/core/admission.py
+++ b/mothstand/core/admission.py
@@ -1,12 +1,12 @@
-"""Which requests are taken on while the upstreams of a service are slow for all.
+"""Admission control that rejects a share of requests while all upstreams of a service are slow.
 
-The load that this answers: a burst, or the loss of many upstreams, asks for more than the rest can
-do. Taken on without a bound, all requests wait in the upstreams' queues: every answer is late, many
-callers leave before theirs begins, and the prompts that were read for them are paid for in vain.
-Turned away at arrival, a part of them costs the others nothing, and has not run.
+In a burst, or after the loss of many upstreams, demand exceeds capacity. If all requests were
+admitted, they would wait in the upstreams' queues: every answer is late, many callers disconnect
+before their answer begins, and the prompts read for them are wasted. Rejecting a share of the
+requests on arrival, before they run, keeps the others fast.
 
-What is seen is the time that upstreams took to begin an answer, beside the request's objective.
-Attempts without an answer say nothing here: an upstream that is dark makes no other one slow.
+The input is the time that upstreams take to begin an answer, relative to the request's objective.
+Attempts without an answer are ignored: an unreachable upstream does not slow down the others.
 """
 
 from __future__ import annotations
@@ -15,34 +15,35 @@
 import random
 from dataclasses import dataclass
 
-#: Answers begin after this part of their objective, on average, before any request is turned
-#: away. Where the mean is higher the slower half of them is late.
+#: Highest mean relative delay (time to the start of an answer, divided by the objective) at which
+#: all requests are admitted. With a higher mean the slower half of the answers is late.
 _BEARABLE = 0.6
 
-#: Steepness of the part that is turned away. What is taken on settles where it is what upstreams
-#: can do; at twice as much demand the mean is then a quarter above what is bearable.
+#: Exponent of the rejected share. The admitted load settles at the upstreams' capacity; at a demand
+#: of twice the capacity the mean is then a quarter above `_MAX_RELATIVE_DELAY`.
 _STEEPNESS = 3.0
 
-#: The least part of the requests that is taken on, so that the upstreams' recovery is noticed.
+#: Minimum share of admitted requests, so that the recovery of the upstreams is noticed.
 _LEAST_SHARE = 0.25
 
-#: Time constant of the mean: about as long as a queue takes to build up or to drain.
+#: Time constant of the mean: about the time in which a queue builds up or drains.
 _WINDOW_S = 1.0
 
-#: Answers within the window that a mean needs; a slow one or two are chance.
+#: Decayed number of answers that a mean requires: one or two slow ones may be chance.
 _LEAST_ANSWERS = 6.0
 
-#: Each step of priority counts as if the upstreams were so much faster or slower, so that the less
-#: urgent are turned away first, and none of them wholly.
+#: Factor on the maximum relative delay for each priority level below the highest, so that lower
+#: priorities are rejected first, but none entirely.
 _PRIORITY_STEP = 0.85
 
-#: Callers come back after a time between these two, in seconds: not all together.
+#: Range in seconds of the random time after which callers retry, so that they do not all retry at
+#: once.
 _COME_BACK_S = (0.8, 2.4)
 
 
 @dataclass(slots=True)
 class Admission:
-    """The decision for one service."""
+    """Admission control of one service, from the start times of its recent answers."""
 
     _answers: float = 0.0
     _relative_sum: float = 0.0
@@ -50,7 +51,7 @@
     _most_urgent: int | None = None
 
     def answered(self, took_s: float, objective_s: float, now_s: float) -> None:
-        """Note after which time an upstream began an answer, if that has an objective."""
+        """Record the time an upstream took to begin an answer, if the request has an objective."""
         if objective_s <= 0:
             return
         self._fade(now_s)
@@ -58,7 +59,7 @@
         self._relative_sum += took_s / objective_s
 
     def share(self, priority: int, now_s: float) -> float:
-        """Return which part of the requests of a priority is to be taken on now."""
+        """Return the share of requests of a priority to admit now."""
         self._fade(now_s)
         if self._most_urgent is None or priority < self._most_urgent:
             self._most_urgent = priority
@@ -78,5 +79,5 @@
 
 
 def come_back_s() -> float:
-    """Return when a request that was turned away should come back."""
+    """Return the seconds after which the caller of a rejected request should retry."""
     return random.uniform(*_COME_BACK_S)
--- a/mothstand/core/config.py
+++ b/mothstand/core/config.py
@@ -1,4 +1,4 @@
-"""The operators' configuration: what it declares, and the fold of its stream."""
+"""The operators' configuration: its data classes and the fold of the ``config`` stream."""
 
 from __future__ import annotations
 
@@ -28,14 +28,14 @@
 
 
 class UpstreamKind(Enum):
-    """What an upstream speaks."""
+    """Type of an upstream: a model engine or a plain service."""
 
     ENGINE = "engine"
     SERVICE = "service"
 
 
 class OrderCheck(Enum):
-    """Whether an engine takes orders, and if it refuses one with an old fencing number."""
+    """Whether an engine accepts orders, and whether it refuses those with an old fencing number."""
 
     NONE = "none"
     FENCED = "fenced"
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Model:
-    """A model, or an adapter of the model `base`, in the version that engines should have."""
+    """A model, or an adapter of the model `base`, in the version that engines should load."""
 
     name: str
     version: str
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Workspace:
-    """A customer of the fleet: higher `priority` goes first; empty `models` allows all."""
+    """A customer of the fleet; a higher `priority` is served first, empty `models` allows all."""
 
     name: str
     priority: int
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerKey:
-    """A caller's key, kept as its SHA-256 digest: who it is and which budget it spends."""
+    """A caller's key, stored as its SHA-256 digest, with its workspace and the budget it spends."""
 
     name: str
     workspace: str
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Budget:
-    """A prepaid budget; `paid_tokens` is cumulative and never goes down."""
+    """A prepaid budget; `paid_tokens` is cumulative and never decreases."""
 
     name: BudgetName
     workspace: str
@@ -81,7 +81,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """A plain service: what a call costs and whether it may be repeated."""
+    """A plain service: the price of a call and whether a call may be repeated."""
 
     name: str
     tokens_per_call: int
@@ -90,16 +90,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Upstream:
-    """A model engine or a plain service's instance.
+    """A model engine or an instance of a plain service.
 
     Parameters
     ----------
-    resumes
-        Whether it goes on with an answer that another engine has begun.
+    can_resume
+        Whether it can continue an answer that another engine has begun.
     orders
-        Whether the fleet says what it has loaded.
+        Whether the fleet orders which models it loads.
     role
-        What it does, such as ``mixed``, ``prefill`` or ``decode``.
+        Kind of its work, such as ``mixed``, ``prefill`` or ``decode``.
     """
 
     name: str
@@ -115,7 +115,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannedStop:
-    """No new work for an upstream from `at_utc` on."""
+    """A planned stop of an upstream, which gets no new requests from `at_utc` on."""
 
     upstream: str
     at_utc: datetime
@@ -123,7 +123,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetConfig:
-    """Everything the operators declare, validated."""
+    """The validated configuration of the fleet."""
 
     workspaces: dict[str, Workspace] = field(default_factory=dict)
     keys_by_sha256: dict[str, CallerKey] = field(default_factory=dict)
@@ -143,7 +143,7 @@
     )
 
     def __post_init__(self) -> None:
-        # Sorted once for each configuration: a look at 4,000 upstreams a request is too slow.
+        # Indexed once per configuration: scanning 4,000 upstreams for each request is too slow.
         serving: dict[str, dict[DataCentre, tuple[Upstream, ...]]] = {}
         for upstream in self.upstreams.values():
             for name in upstream.serves:
@@ -157,7 +157,7 @@
 
 
 def diff_sections(old: Sections, new: Sections) -> tuple[SectionChange, ...]:
-    """Return the changes that lead from `old` to `new`, in order of section."""
+    """Return the changes from `old` to `new`, sorted by section."""
     changes = []
     for name in sorted(old.keys() | new.keys()):
         if old.get(name) == new.get(name):
@@ -180,7 +180,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigState:
-    """The accepted configuration and the offset that put it in force."""
+    """The accepted configuration and the offset of the record that put it in force."""
 
     offset: int = 0
     sections: Sections = field(default_factory=dict)
@@ -200,15 +200,16 @@
 
 
 class ConfigFold:
-    """The state of the ``config`` stream.
+    """Fold of the ``config`` stream.
 
-    A record is accepted only if its base is the accepted configuration, so racing operators never
-    interleave: the loser is told who won and publishes again from the new base.
+    A record is accepted only if its base is the accepted configuration, so changes of concurrent
+    operators are never mixed: a refusal names the operator of the accepted configuration, and the
+    refused operator publishes again from the new base.
 
     Parameters
     ----------
     validate
-        Turns sections into a configuration, or raises `SettingsError`. It must be the same pure
+        Converts sections to a configuration, or raises `SettingsError`. It must be the same pure
         function in every process.
     """
 
@@ -219,7 +220,7 @@
         self._last_sequence: dict[str, int] = {}
 
     def apply(self, offset: int, record: ConfigPublished) -> Outcome:
-        """Apply the record at `offset` and return what was decided about it."""
+        """Apply the record at `offset` and return whether it is accepted, or why not."""
         if record.record_id.sequence <= self._last_sequence.get(record.record_id.author, 0):
             return refused("appended before, under the same record id")
         self._last_sequence[record.record_id.author] = record.record_id.sequence
@@ -237,7 +238,7 @@
         return outcome
 
     def snapshot(self, record_id: RecordId, at_offset: int) -> ConfigSnapshot:
-        """Return the state as a record, as of the last offset that was read."""
+        """Return the state as a snapshot record, as of the last offset that was read."""
         return ConfigSnapshot(
             record_id=record_id,
             at_offset=at_offset,
@@ -247,7 +248,7 @@
         )
 
     def load(self, snapshot: ConfigSnapshot) -> None:
-        """Take the state that a snapshot tells of."""
+        """Replace the state by that of a snapshot."""
         sections = apply_changes({}, snapshot.sections)
         self.state = ConfigState(snapshot.offset, sections, self._validate(sections))
         self._last_sequence = dict(snapshot.last_sequences)
@@ -275,7 +276,7 @@
 
 
 def lowered_budgets(old: FleetConfig, new: FleetConfig) -> list[str]:
-    """Return a sentence for each budget whose paid total went down."""
+    """Return an error message for each budget whose paid total decreased."""
     sentences = []
     for name, budget in new.budgets.items():
         before = old.budgets.get(name)
--- a/mothstand/core/event_stream.py
+++ b/mothstand/core/event_stream.py
@@ -1,4 +1,4 @@
-"""Splits a stream of server-sent events, and tells which events a caller still lacks."""
+"""Splits a stream of server-sent events and skips events that the caller already received."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerEvent:
-    """One whole event as it came, with its blank line.
+    """One complete event as received, with its trailing blank line.
 
     Parameters
     ----------
     event_id
-        Empty if it has none.
+        Empty if the event has none.
     """
 
     raw: bytes
@@ -25,18 +25,18 @@
 
 @dataclass(slots=True)
 class EventSplitter:
-    """Takes a body in pieces and returns whole events.
+    """Splits a body, received in chunks, into complete events.
 
     Notes
     -----
-    An upstream may stop in the middle of an event. Passing on bytes as they come would leave
-    half an event with the caller, to which another upstream's events cannot be joined.
+    An upstream may stop in the middle of an event. If bytes were forwarded as received, the caller
+    would hold a partial event, and events of another upstream could not follow it.
     """
 
     _rest: bytes = b""
 
     def feed(self, data: bytes) -> list[ServerEvent]:
-        """Return the events that are whole now."""
+        """Add a chunk and return the events that are now complete."""
         self._rest += data
         events = []
         start = 0
@@ -50,20 +50,20 @@
 
     @property
     def is_between_events(self) -> bool:
-        """Whether the body so far ends with a whole event."""
+        """Whether the body received so far ends with a complete event."""
         return not self._rest.strip()
 
 
 @dataclass(slots=True)
 class StreamProgress:
-    """What a caller has of a stream, over all the upstreams that made it.
+    """The part of a stream that the caller received, from all upstreams that produced it.
 
     Parameters
     ----------
     last_event_id
-        Of the last event passed on; where a resumed stream goes on.
-    events
-        Passed on so far.
+        Id of the last event that was sent; a resumed stream continues after it.
+    sent_events
+        Number of events sent so far.
     """
 
     last_event_id: str = ""
@@ -71,11 +71,11 @@
     splitter: EventSplitter = field(default_factory=EventSplitter)
 
     def restart(self) -> None:
-        """Forget half an event, before another upstream goes on."""
+        """Drop a partial event before another upstream continues."""
         self.splitter = EventSplitter()
 
     def take(self, data: bytes) -> bytes:
-        """Return what to pass on of a piece of a body: whole events that the caller lacks."""
+        """Add a chunk of a body and return its complete events that the caller does not have."""
         passed = []
         for event in self.splitter.feed(data):
             if self._has(event):
@@ -86,7 +86,7 @@
         return b"".join(passed)
 
     def _has(self, event: ServerEvent) -> bool:
-        """Return whether an event was passed on before, by its number."""
+        """Return whether an event was sent before, by its numeric id."""
         if not (event.event_id.isdecimal() and self.last_event_id.isdecimal()):
             return False
         return int(event.event_id) <= int(self.last_event_id)
--- a/mothstand/core/load_report.py
+++ b/mothstand/core/load_report.py
@@ -1,15 +1,15 @@
-"""Reads an upstream's word on its load, as it comes in a header of its answers.
+"""Parses the load report that an upstream sends in a header of its answers.
 
-The header is that of Open Request Cost Aggregation (ORCA), ``endpoint-load-metrics``, which engines
-add to an answer when its request asks for it. The figures are of the answer's start, so they are
-late; answers without one are common.
+The header is ``endpoint-load-metrics`` of Open Request Cost Aggregation (ORCA), which engines add
+to an answer if the request asks for it. The figures date from the start of the answer, so they are
+late. Many answers have no such header.
 """
 
 from __future__ import annotations
 
 from pydantic import BaseModel, ConfigDict, Field, ValidationError
 
-#: The answers' header, and the requests' that asks for it.
+#: Response header with the report, and the request header that asks for it.
 LOAD_HEADER = "endpoint-load-metrics"
 LOAD_FORMAT_HEADER = "endpoint-load-metrics-format"
 LOAD_FORMAT = "JSON"
@@ -27,7 +27,7 @@
 
 
 def read_load(header: str) -> int | None:
-    """Return how many requests run or wait at an upstream, or None if the header does not say.
+    """Return the number of requests that run or wait at an upstream, or None if it is not given.
 
     Examples
     --------
--- a/mothstand/core/membership.py
+++ b/mothstand/core/membership.py
@@ -1,6 +1,6 @@
-"""Who is alive, and who should lead what.
+"""Membership view of the fleet: which instances are alive, and which should lead a ledger shard.
 
-Beliefs about liveness only steer work. Safety never rests on them: see ``ledger_fold``.
+Liveness only decides where work goes. Safety never depends on it: see ``ledger_fold``.
 """
 
 from __future__ import annotations
@@ -28,49 +28,49 @@
 
 
 def rank(names: Iterable[str], subject: str) -> list[str]:
-    """Return names by rendezvous hash: each subject gets its own, stable order."""
+    """Return names sorted by rendezvous hash, in a stable order that differs between subjects."""
     return sorted(names, key=lambda name: rendezvous_weight(subject, name))
 
 
 def rank_for_shard(names: Iterable[str], data_centre: DataCentre, shard: Shard) -> list[str]:
-    """Return the instances of a data centre in the order in which they should lead a shard."""
+    """Return the instances of a data centre by preference as leader of a shard."""
     return rank(names, f"{data_centre}/{shard}")
 
 
 @dataclass(frozen=True, slots=True)
 class ProbePace:
-    """How often peers are probed.
+    """Rates at which peers are probed.
 
     Parameters
     ----------
-    partner_s
-        Interval for each partner.
-    others_per_s
-        Probes a second that all other peers share.
+    partner_interval_s
+        Interval for each partner, a peer that shares a ledger epoch with this instance.
+    other_probes_per_s
+        Total rate for all other peers.
     """
 
     partner_s: float
     others_per_s: float
 
 
-#: A probe may go out this early, lest it waits for another whole round.
+#: A probe may be sent this early, so that it does not wait for the next round.
 _EARLY_S = 0.02
 
 
 @dataclass(slots=True)
 class PeerState:
-    """What one instance knows of another.
+    """State of another instance, as this instance knows it.
 
     Parameters
     ----------
     member
-        Its last seen identity, or None before its first answer.
+        Identity in the peer's latest response, or None before the first one.
     seen_at_s
-        Monotonic time of the last answer, or of the first mention in the platform's list.
-    leaving
-        Said by the list or by the peer itself.
+        Monotonic time of the latest response; before the first one it only has an initial value.
+    is_stopping
+        Reported by the platform's list or by the peer itself.
     interval_s
-        How often it is probed. One that is probed rarely is suspected late.
+        Interval between probes. A rarely probed peer is suspected later.
     """
 
     name: str
@@ -83,20 +83,20 @@
     probed_at_s: float | None = None
 
 
-#: Probes without an answer after which a peer is suspected, whatever their interval.
+#: A peer is not suspected before this many probe intervals without a response.
 _MISSED_PROBES = 4
 
 
 class Membership:
-    """Direct heartbeats over the platform's lagging list.
+    """Liveness of instances: names from the platform's lagging list, liveness from direct probes.
 
     Parameters
     ----------
     data_centre
-        The data centre of this instance: only peers there lead its shards.
+        Data centre of this instance: only peers there lead its shards.
     suspect_after_s
-        Silence after which a peer is suspected. Short, since a false suspicion costs a takeover
-        and never tokens.
+        Seconds without a response after which a peer is suspected. Short, since a false suspicion
+        costs a takeover and never tokens.
     """
 
     def __init__(self, me: Member, data_centre: DataCentre, suspect_after_s: float) -> None:
@@ -107,7 +107,7 @@
         self.leaving = False
 
     def listed(self, listing: Iterable[PeerState], now_s: float) -> None:
-        """Take the platform's list: it names peers; only their own answers make them alive."""
+        """Apply the platform's list: it names peers; only their own responses make them alive."""
         names = set()
         for entry in listing:
             if entry.name == self.me.name:
@@ -119,20 +119,20 @@
                 self.peers[entry.name] = entry
             else:
                 known.leaving = known.leaving or entry.leaving
-        # A lagging list may drop a peer that still answers; it is forgotten once it is silent too.
+        # A lagging list may lack a peer that still responds: drop it once it stops responding.
         for name in set(self.peers) - names:
             if not self._is_fresh(self.peers[name], now_s):
                 del self.peers[name]
 
     def introduce(self, member: Member, data_centre: DataCentre, now_s: float) -> None:
-        """Take a peer that answered at an address from the settings, while there is no list."""
+        """Add a peer that responded at an address from the settings, while there is no list."""
         if member.name != self.me.name and member.name not in self.peers:
             self.peers[member.name] = PeerState(
                 name=member.name, address=member.address, data_centre=data_centre, seen_at_s=now_s
             )
 
     def answered(self, member: Member, *, leaving: bool, now_s: float) -> bool:
-        """Take a heartbeat answer; return whether the peer was not alive before."""
+        """Record a probe response; return whether the peer was not alive before it."""
         peer = self.peers.get(member.name)
         if peer is None:
             return False
@@ -143,14 +143,14 @@
         return not fresh
 
     def is_alive(self, member: Member, now_s: float) -> bool:
-        """Return whether this very incarnation answered within the suspicion time."""
+        """Return whether this incarnation responded within the suspicion time."""
         if member.name == self.me.name:
             return member.incarnation == self.me.incarnation
         peer = self.peers.get(member.name)
         return peer is not None and peer.member == member and self._is_fresh(peer, now_s)
 
     def is_staying(self, member: Member, now_s: float) -> bool:
-        """Return whether this very incarnation is alive and not leaving."""
+        """Return whether this incarnation is alive and not stopping."""
         if member.name == self.me.name:
             return member.incarnation == self.me.incarnation and not self.leaving
         return self.is_alive(member, now_s) and not self.peers[member.name].leaving
@@ -165,7 +165,7 @@
         return None
 
     def alive_here(self, now_s: float) -> dict[str, Member]:
-        """Return the data centre's live members, this one too, without those that leave."""
+        """Return the live members of this data centre, with this one, that are not stopping."""
         alive = {} if self.leaving else {self.me.name: self.me}
         for peer in self.peers.values():
             here = peer.data_centre == self.data_centre
@@ -178,7 +178,7 @@
         return peer.member is not None and now_s - peer.seen_at_s < patience_s
 
     def due(self, partners: set[str], pace: ProbePace, now_s: float) -> list[PeerState]:
-        """Return the peers to probe now, and note that they are.
+        """Return the peers to probe now, and record that they are probed.
 
         Parameters
         ----------
@@ -187,8 +187,8 @@
 
         Notes
         -----
-        Only a partner's death asks this instance for a takeover, so partners are probed often and
-        the rest share a fixed rate: what probing costs does not grow with the fleet.
+        This instance takes over only from a partner, so partners are probed often and all other
+        peers share a fixed rate: the cost of probing does not grow with the fleet.
         """
         others = len(self.peers) - len(partners & self.peers.keys())
         rest_s = max(pace.partner_s, others / pace.others_per_s)
--- a/mothstand/core/orders.py
+++ b/mothstand/core/orders.py
@@ -1,10 +1,10 @@
-"""Orders to model engines: what each should have loaded, who orders it, and when.
+"""Planning of orders to model engines: which models each should load, and who orders it when.
 
-The configuration says what an engine should have loaded, and its offset in the log is the order's
-fencing number: no two orders of one number differ. An engine that checks refuses an older
-one. For one that does not, one instance orders at a time, and a new one waits until the earlier
-one's orders are too old to be sent. What the engine says it has is read again and again: an order
-that slipped through is put right.
+The configuration declares what an engine should load, and its offset in the log is the fencing
+number of the order, so orders with the same number are equal. A fenced engine refuses an older
+number. An unfenced engine is ordered by one instance at a time, and a new issuer waits until orders
+of the earlier one are too old to be sent. Engines are polled for what they have loaded, which
+corrects the effect of an outdated order that was sent all the same.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineSetup:
-    """What an engine has, or should have: `models` in order of their names."""
+    """The models that an engine has loaded or should load, sorted by name, and its role."""
 
     models: tuple[Model, ...]
     role: str
@@ -38,13 +38,13 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineReport:
-    """What an engine says of itself.
+    """State that an engine reports of itself.
 
     Parameters
     ----------
     fencing
-        The highest number it has taken an order under; 0 from engines that do not check.
-    loading
+        Highest fencing number of an order it accepted; 0 from unfenced engines.
+    is_loading
         Whether it is carrying out an order.
     """
 
@@ -55,12 +55,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Order:
-    """An order to one engine: the whole setup, so that taking it twice changes nothing.
+    """An order to one engine. It holds the entire setup, so applying it twice changes nothing.
 
     Parameters
     ----------
     decided_at_s
-        Monotonic time of the decision; an order that was held up must not be sent.
+        Monotonic time of the decision; an order that is too old must not be sent.
     """
 
     engine: Upstream
@@ -70,31 +70,31 @@
 
 
 def wanted_setup(config: FleetConfig, engine: Upstream) -> EngineSetup:
-    """Return what an engine should have loaded."""
+    """Return the setup that the configuration declares for an engine."""
     models = tuple(config.models[name] for name in sorted(engine.serves))
     return EngineSetup(models, engine.role)
 
 
 def issuers(alive: Collection[str], data_centre: DataCentre, loads: int) -> list[str]:
-    """Return the instances of a data centre that order: no more than may load at once.
+    """Return the instances of a data centre that issue orders, at most `max_loading` of them.
 
-    Each of them lets at least one engine load, so more of them would be too many at the store.
+    Each of them lets at least one engine load, so more issuers would overload the weight store.
     """
     return rank(alive, f"orders/{data_centre}")[: max(1, loads)]
 
 
 @dataclass(slots=True)
 class _Duty:
-    """A duty to order one engine.
+    """Assignment of one engine to this instance, which polls and orders it.
 
     Parameters
     ----------
-    since_s
-        Since when the instance has had it without a break.
+    assigned_at_s
+        Time since which the engine has been assigned without interruption.
     backoff
-        Counts the orders of one number that were sent.
-    settled
-        What the engine had when it was last looked at, if that was what it should have.
+        Pauses between the orders with the same fencing number, which it also counts.
+    confirmed_setup
+        Setup of the engine when it was last polled, if it was the desired one.
     """
 
     since_s: float
@@ -108,17 +108,17 @@
 
 @dataclass(frozen=True, slots=True)
 class OrderTiming:
-    """When orders may be sent.
+    """Timing of orders.
 
     Parameters
     ----------
-    held_up_s
+    max_order_age_s
         An order older than this is not sent.
-    wait_s
-        A new issuer waits as long before it orders an engine that does not check: longer than it
-        takes to suspect the earlier one, and than that one's orders count.
-    retry_first_s, retry_most_s
-        Before the same order is sent again; doubles.
+    takeover_wait_s
+        Wait of a new issuer before it orders an unfenced engine: longer than the earlier issuer
+        takes to be suspected, and longer than `max_order_age_s`.
+    retry_first_s, retry_max_s
+        First and longest pause before the same order is sent again; each pause doubles.
     """
 
     held_up_s: float = 1.0
@@ -129,12 +129,12 @@
 
 @dataclass(slots=True)
 class OrderPlanner:
-    """Decides on orders for one instance.
+    """Decides which orders one instance sends.
 
     Parameters
     ----------
     name
-        The instance's name.
+        Name of the instance.
     """
 
     name: str
@@ -146,17 +146,16 @@
     def engines(
         self, config: FleetConfig, alive: Collection[str], loads: int, now_s: float
     ) -> list[Upstream]:
-        """Return the engines that this instance looks at now: not all, lest looking costs too much.
+        """Return the engines that this instance polls now, a limited number to bound the cost.
 
-        Those that are not known to have what they should come first, then the ones that were
-        looked at longest ago.
+        Engines without a confirmed setup come first, then those that were polled longest ago.
 
         Parameters
         ----------
         alive
-            Names of the data centre's live instances.
-        loads
-            How many engines of the data centre may load at once: they share the weight store.
+            Names of the live instances of the data centre.
+        max_loading
+            Number of engines of the data centre that may load at once: they share the weight store.
         """
         chosen = issuers(alive, self.data_centre, loads)
         self._loads = max(1, loads // max(1, len(chosen)))
@@ -191,7 +190,7 @@
             duty.settled = wanted
             return None
         if report.fencing > state.offset:
-            # A newer configuration than this instance's is in force.
+            # The engine was ordered under a newer configuration than this instance has.
             return None
         if self._must_wait(engine, duty, state.offset, now_s):
             return None
@@ -199,16 +198,16 @@
         return Order(engine, wanted, state.offset, now_s)
 
     def may_send(self, order: Order, now_s: float) -> bool:
-        """Return whether an order still counts: asked right before it is sent.
+        """Return whether an order is still valid; call it right before sending.
 
-        A process can be stopped between its decision and the send. When it wakes, others may have
-        ordered something newer, which an engine that does not check would undo.
+        A process can be suspended between decision and send. When it resumes, another instance may
+        have sent a newer order, which an unfenced engine would undo.
         """
         has_duty = order.engine.name in self._duties
         return has_duty and now_s - order.decided_at_s <= self.timing.held_up_s
 
     def is_contested(self, engine: str) -> bool:
-        """Return whether an engine keeps losing what it was ordered."""
+        """Return whether an engine repeatedly does not have the setup it was ordered to load."""
         duty = self._duties.get(engine)
         return duty is not None and duty.backoff.tries > _CONTESTED_TRIES
 
@@ -229,11 +228,11 @@
             duty.backoff.reset()
         duty.fencing = offset
         duty.again_at_s = now_s + duty.backoff.next_s()
-        # Until the engine is looked at again, it counts as loading.
+        # The engine counts as loading until it is polled again.
         duty.loading = True
 
 
-#: Engines that are looked at in one round.
+#: Maximum number of engines that are polled in one round.
 LOOKS_AT_ONCE = 8
 
 _CONTESTED_TRIES = 3
--- a/mothstand/core/patience.py
+++ b/mothstand/core/patience.py
@@ -1,49 +1,48 @@
-"""How long a request waits for an upstream before another one is worth a try.
+"""Timeout after which a request that may run twice is sent to another upstream.
 
-The load that this answers: an upstream that hangs, or is dark behind a cut, answers never, and a
-request that may run twice should leave it while its objective can still be met. Where all upstreams
-are slow, in a burst, leaving one only gets a prompt read once more at the next.
+An upstream that hangs or is unreachable never answers, and the request should be sent to another
+one while its objective can still be met. When all upstreams are slow, in a burst, the timeout must
+be longer: switching would only make a second upstream read the prompt.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-#: After this many objectives without a sign of an answer, another upstream is tried. One that is
-#: merely busy answers before; one that hangs never.
+#: Timeout as a multiple of the objective. A busy upstream answers before; a hanging one never does.
 _OBJECTIVES = 1.6
 
-#: The same in mean times to an answer's head, for when all upstreams are slow.
+#: Timeout as a multiple of the mean time to the head of an answer, when all upstreams are slow.
 _MEANS = 3.0
 
-#: Least patience; a busy upstream takes so long for a short request.
+#: Minimum timeout: a busy upstream takes this long for a short request.
 _LEAST_S = 0.25
 
-#: Longest patience; callers abandon a stream after two seconds without an event.
+#: Maximum timeout: callers abandon a stream after two seconds without an event.
 _MOST_S = 1.5
 
-#: Weight of the latest answer in the mean time to an answer's head.
+#: Weight of the latest answer in the mean time to the head of an answer.
 _LATEST_WEIGHT = 0.05
 
 
 @dataclass(slots=True)
 class Patience:
-    """Mean times to an answer's head by service, and the patience that follows from them."""
+    """Timeouts from the objective and from the mean time to the head of an answer, by service."""
 
     _head_s: dict[str, float] = field(default_factory=dict)
 
     def answered(self, service: str, took_s: float) -> None:
-        """Note how long an answer's head took."""
+        """Record the time to the head of an answer."""
         mean_s = self._head_s.get(service, took_s)
         self._head_s[service] = mean_s + _LATEST_WEIGHT * (took_s - mean_s)
 
     def of(self, service: str, objective_s: float) -> float:
-        """Return the seconds to wait for an answer's head from one upstream.
+        """Return the seconds to wait for the head of an answer from one upstream.
 
         Parameters
         ----------
         objective_s
-            Within which the request should be answered.
+            Time within which the request should be answered.
         """
         by_objective_s = _OBJECTIVES * objective_s
         by_mean_s = _MEANS * self._head_s.get(service, 0.0)
--- a/mothstand/core/placement.py
+++ b/mothstand/core/placement.py
@@ -1,8 +1,8 @@
-"""Which upstream gets a request: where its prompt is cached, unless the queue there costs more.
+"""Choice of the upstream of a request: where its prompt is cached, unless the queue costs more.
 
-The load that this answers: prompts of thousands of tokens, of which a few large leading parts are
-shared by all and the next part by a session. Reading a prompt again costs the request that time,
-and delays the next token of everything that runs beside it.
+Prompts have thousands of tokens; a few large leading parts are shared by all requests and the next
+part by a session. Reading a prompt again delays the request itself and the next token of every
+request that runs at the same upstream.
 """
 
 from __future__ import annotations
@@ -22,24 +22,25 @@
 
 @dataclass(frozen=True, slots=True)
 class PlacementPolicy:
-    """Constants of the choice.
+    """Weights and times of the placement decision.
 
     Parameters
     ----------
-    cached_s
-        How long a part that was sent to an upstream is taken to be cached there.
-    running_tokens
-        What one running request weighs against tokens that wait to be read: its decoding slows
-        the others' steps by a little.
-    far_tokens
-        What another data centre weighs, in the same unit: three running requests. A cached prompt
-        of thousands goes before, but a short question, which no other upstream may go on with,
-        stays where no cut between data centres can break it: 3.7 to 5.7 % of a day's requests
-        failed when this broke ties only, 3.2 to 4.9 % now (five days with cuts).
-    full_s
-        An upstream that had no room is left alone for this long: a few requests end meanwhile.
-    suspend_first_s, suspend_most_s
-        An upstream that failed is left alone for this long, doubled with each failure in a row.
+    cache_lifetime_s
+        Time for which a part that was sent to an upstream is assumed to be cached there.
+    running_request_tokens
+        Cost of one running request in tokens to read: its decoding slows down the steps of other
+        requests a little.
+    remote_tokens
+        Cost of using another data centre in the same unit: three running requests. A cached prompt
+        of thousands of tokens outweighs it, but a short question, which no other upstream may
+        continue, stays local, where a network cut between data centres cannot break it. Of a day's
+        requests 3.7 to 5.7 % failed when distance only broke ties, 3.2 to 4.9 % with this cost
+        (five days with cuts).
+    full_pause_s
+        Pause of an upstream that had no room; a few of its requests end in that time.
+    suspend_first_s, suspend_max_s
+        First and longest pause of an upstream that failed; doubles with each consecutive failure.
     """
 
     cached_s: float = 8.0
@@ -52,7 +53,7 @@
 
 @dataclass(slots=True)
 class _Known:
-    """Own observations of one upstream."""
+    """This instance's observations of one upstream."""
 
     running: int = 0
     unread_tokens: float = 0.0
@@ -63,20 +64,20 @@
 
 @dataclass(slots=True)
 class Placed:
-    """A request at an upstream, as the placement counts it."""
+    """A request at an upstream, with the tokens it counts as unread there."""
 
     upstream: RegisteredUpstream
     unread_tokens: float
     reading: bool = True
 
 
-#: Parts remembered for each upstream; the oldest are dropped above this.
+#: Maximum number of prompt parts remembered per upstream; the oldest are dropped.
 _MOST_PARTS = 2000
 
 
 @dataclass(slots=True)
 class Placement:
-    """Chooses upstreams and keeps count of what this instance sent there."""
+    """Chooses upstreams, and tracks the requests that this instance sent to each."""
 
     data_centre: DataCentre
     policy: PlacementPolicy = field(default_factory=PlacementPolicy)
@@ -96,14 +97,14 @@
         Parameters
         ----------
         subject
-            What requests have in common that should meet at one upstream; for a request without a
-            prompt anything.
+            Hash subject, equal for requests that should go to the same upstream; any value for a
+            request without a prompt.
         tried
-            Upstreams that this request has failed at.
+            Upstreams at which this request has failed.
         """
         candidates = [u for u in upstreams if u.upstream_id not in tried]
         healthy = [u for u in candidates if self._of(u).suspended_until_s <= now_s]
-        # Where all are suspended a wrong suspicion costs more than another failure.
+        # If all are suspended, use them: refusing the request costs more than another failure.
         candidates = healthy or candidates
         if not candidates:
             return None
@@ -111,7 +112,7 @@
         return min(candidates, key=lambda u: self._cost(u, prompt, u is home, subject, now_s))
 
     def started(self, upstream: RegisteredUpstream, prompt: Prompt, now_s: float) -> Placed:
-        """Count a request that is being sent."""
+        """Count a request that is about to be sent."""
         known = self._of(upstream)
         unread = self._unread_tokens(known, prompt, now_s)
         known.running += 1
@@ -124,24 +125,24 @@
         return Placed(upstream, unread)
 
     def read(self, placed: Placed) -> None:
-        """Note that an upstream has read a request's prompt: its first token came."""
+        """Record that an upstream has read a request's prompt: the first token arrived."""
         if placed.reading:
             placed.reading = False
             self._of(placed.upstream).unread_tokens -= placed.unread_tokens
 
     def ended(self, placed: Placed) -> None:
-        """Count a request's end, whatever it was."""
+        """Remove a request that ended, successful or not, from the counts."""
         self.read(placed)
         self._of(placed.upstream).running -= 1
 
     def succeeded(self, upstream: RegisteredUpstream) -> None:
-        """Note that an upstream answered."""
+        """Record an answer of an upstream, which ends its suspension."""
         known = self._of(upstream)
         known.failures = 0
         known.suspended_until_s = 0.0
 
     def failed(self, upstream: RegisteredUpstream, now_s: float) -> float:
-        """Note that an upstream failed; return for how long it is left alone."""
+        """Record a failure of an upstream; return the seconds for which it is suspended."""
         known = self._of(upstream)
         pause_s = min(self.policy.suspend_most_s, self.policy.suspend_first_s * 2**known.failures)
         known.failures += 1
@@ -149,19 +150,19 @@
         return pause_s
 
     def full(self, upstream: RegisteredUpstream, now_s: float) -> None:
-        """Note that an upstream had no room just now."""
+        """Record that an upstream had no room for a request."""
         known = self._of(upstream)
         known.suspended_until_s = max(known.suspended_until_s, now_s + self.policy.full_s)
 
     def forget(self, upstream: RegisteredUpstream) -> None:
-        """Drop what is known of an upstream that has gone."""
+        """Drop the state of an upstream that is deregistered."""
         self._known.pop(upstream.key, None)
 
     def _of(self, upstream: RegisteredUpstream) -> _Known:
         return self._known.setdefault(upstream.key, _Known())
 
     def _unread_tokens(self, known: _Known, prompt: Prompt, now_s: float) -> float:
-        """Return the prompt's tokens behind its leading parts that were sent there lately."""
+        """Return the tokens of a prompt after its leading parts that are cached at an upstream."""
         unread = prompt.input_tokens
         for part in prompt.parts:
             if now_s - known.parts.get(part.part_id, float("-inf")) > self.policy.cached_s:
@@ -180,7 +181,7 @@
         known = self._of(upstream)
         unread = self._unread_tokens(known, prompt, now_s)
         if home and len(prompt.parts) > 1:
-            # Other instances send the same session here, too.
+            # Other instances send the same session to this upstream, so its parts are cached.
             unread = min(unread, prompt.parts[-1].tokens)
         cost = unread + known.unread_tokens + known.running * self.policy.running_tokens
         if upstream.data_centre != self.data_centre:
@@ -194,7 +195,7 @@
 
 
 def session_of(prompt: Prompt, request_id: str) -> str:
-    """Return what the request shares with others: its last shared part, else its own id."""
+    """Return the key that requests of a session share: the last shared part, else the own id."""
     if len(prompt.parts) > 1:
         return prompt.parts[-2].part_id
     return prompt.parts[0].part_id if prompt.parts else request_id
--- a/mothstand/core/prompt.py
+++ b/mothstand/core/prompt.py
@@ -1,4 +1,4 @@
-"""What a request says of its prompt: its parts, and how many tokens it may cost."""
+"""Prompt metadata that a request declares: the parts of the prompt and its token counts."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
     Parameters
     ----------
     input_tokens
-        Tokens of the whole prompt.
+        Tokens of the entire prompt.
     max_output_tokens
-        The most that may be generated.
+        Maximum number of generated tokens.
     parts
-        In order; the last one is the request's or its session's own.
+        Leading part first; the last one belongs to the request or its session only.
     """
 
     model: str = ""
@@ -34,17 +34,17 @@
 
     @property
     def max_tokens(self) -> int:
-        """The most that the request can cost."""
+        """Maximum cost of the request in tokens."""
         return self.input_tokens + self.max_output_tokens
 
 
 def parse_token_counts(text: str) -> tuple[int, int]:
-    """Return prompt tokens and most output tokens of ``PROMPT,OUTPUT``.
+    """Return the prompt tokens and the maximum output tokens of ``PROMPT,OUTPUT``.
 
     Raises
     ------
     ValueError
-        Naming the bad value.
+        If the text is invalid; the message quotes it.
     """
     first, _, second = text.partition(",")
     try:
@@ -62,7 +62,7 @@
     Raises
     ------
     ValueError
-        Naming the bad value.
+        If an entry is invalid; the message quotes it.
     """
     parts = []
     for entry in filter(None, (piece.strip() for piece in text.split(","))):
