--- a/mothstand/core/quarantine.py
+++ b/mothstand/core/quarantine.py
@@ -1,14 +1,14 @@
-"""Which requests are kept from the upstreams, because upstreams ended under them.
+"""Quarantine of requests that crash upstreams.
 
-The load that this answers: a request that ends each upstream which begins to run it, and that its
-caller sends again, each time with another id and to another instance. All requests that run there
-break with each upstream, so such a request must be stopped in the whole fleet after a few ends.
+A request may crash each upstream that begins to run it, and its caller sends it again with another
+id and to another instance. Each crash also breaks all other requests at that upstream, so such a
+request must be blocked in the whole fleet after a few crashes.
 
-A request that merely ran where upstreams ended must not be stopped for it. It is told by a whole
-answer: one that ends every upstream never has any, so a single answer clears it. A popular
-request runs at many upstreams at once, and may lose several of them to one other cause. Where
-all its ends may have had one cause, the quarantine leaves time for an answer; where upstreams ended
-without it, too, it soon sends the request once more.
+A request that only ran at upstreams which crashed for another reason must not be blocked. A
+complete answer distinguishes it: a request that crashes every upstream never has one, so a single
+answer clears it. A popular request runs at many upstreams at once and may lose several of them to
+one other cause. If all its crashes may share a cause, the quarantine waits for an answer first; if
+other upstreams crashed without it, too, it is soon probed.
 """
 
 from __future__ import annotations
@@ -21,53 +21,54 @@
     from .request_digest import RequestDigest
     from .upstreams import UpstreamKey
 
-#: A request under which so many upstreams have ended is quarantined.
+#: Number of upstream crashes after which a request is quarantined.
 MOST_ENDS = 3
 
-#: Trials of a quarantined request in the whole fleet, until it is forgotten. The operators allow
-#: one arrival more, which is left for an end that is never told: its instance was killed, too.
+#: Maximum number of probes of a quarantined request in the whole fleet, until it is forgotten. The
+#: operators allow it to reach one more upstream. That one is reserved for a crash that is never
+#: reported because the instance that noticed it was killed, too.
 MOST_TRIALS = 2
 
-#: Where ends may have had one cause, an answer of a copy that still runs is waited for so long.
+#: Seconds to wait for an answer of a copy that still runs, if the crashes may share a cause.
 DOUBT_S = 1.0
 
-#: Pauses between the latest end or trial and the next trial.
+#: Pauses in seconds between the latest crash or probe and the next probe.
 _TRIALS_AFTER_S = (30.0, 150.0)
 
-#: The same where the ends may have had another cause.
+#: The same pauses if the crashes may have another cause than the request.
 _DOUBTED_TRIALS_AFTER_S = (DOUBT_S, 10.0)
 
-#: Ends of other upstreams so long before or after the latest one tell of another cause.
+#: Crashes of other upstreams within this time of the latest one indicate another cause.
 _OTHER_ENDS_WITHIN_S = 10.0
 
-#: Least seconds after which to come back.
+#: Minimum seconds after which a caller should retry.
 _COME_BACK_S = 1.0
 
-#: Ends are forgotten so long after the latest one, those of quarantined requests later.
+#: Seconds after the latest crash or probe until a request is forgotten, longer in quarantine.
 _FORGET_ENDS_S = 600.0
 _FORGET_QUARANTINE_S = 3600.0
 
-#: Listed ends and trials count as this old at most: the clocks of machines may jump.
+#: Maximum age in seconds of listed crashes and probes: the clocks of machines may jump.
 _MOST_AGE_S = _TRIALS_AFTER_S[-1]
 
-#: Ends of upstreams whose times are remembered, the latest ones.
+#: Number of upstream crashes whose times are retained; the first noted are dropped.
 _MOST_END_TIMES = 500
 
-#: Requests that are remembered; above this the one whose latest end is oldest is forgotten.
+#: Number of requests that are retained; above it the one that expires first is forgotten.
 _MOST_SUSPECTS = 2000
 
 
 @dataclass(frozen=True, slots=True)
 class UpstreamEnd:
-    """The end of an upstream while it had a request.
+    """The crash of an upstream while it ran a request.
 
     Parameters
     ----------
     request_id, instance
-        Of the attempt that broke, for whoever looks for it in the logs.
-    known_ends
-        Ends under the same request that its instance knew when it began the attempt, and that no
-        answer has cleared since.
+        Identify the broken attempt in the logs.
+    known_crashes
+        Number of crashes under the same request that its instance knew when it began the attempt,
+        and that no answer has cleared since.
     """
 
     digest: RequestDigest
@@ -83,8 +84,8 @@
 
     Parameters
     ----------
-    claim
-        Unlike that of any other trial, so that giving one back never gives back another.
+    claim_id
+        Unique id, so that dropping a probe never drops another one.
     """
 
     digest: RequestDigest
@@ -93,7 +94,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ForgottenRequest:
-    """What was known of a request that is forgotten."""
+    """Crashes and probes of a request that is no longer tracked."""
 
     ends: tuple[UpstreamEnd, ...]
     trials: frozenset[Trial]
@@ -101,7 +102,7 @@
 
 @dataclass(slots=True)
 class _Suspect:
-    """A request under which upstreams have ended, and not answered since."""
+    """A request under which upstreams have crashed, without a complete answer since."""
 
     latest_s: float = -math.inf
     latest_end_s: float = -math.inf
@@ -111,28 +112,28 @@
 
     @property
     def is_complete(self) -> bool:
-        """Whether there are enough ends for a quarantine."""
+        """Whether there are enough crashes for a quarantine."""
         return len(self.ends) >= MOST_ENDS
 
     @property
     def may_have_one_cause(self) -> bool:
-        """Whether no attempt was begun with all other ends known, so all may have run at once."""
+        """Whether all attempts may have run at once: none began with all other crashes known."""
         return all(end.known_ends < MOST_ENDS - 1 for end in self.ends.values())
 
     @property
     def forgotten_s(self) -> float:
-        """When nothing is kept of it any more."""
+        """Time at which the request is forgotten."""
         return self.latest_s + (_FORGET_QUARANTINE_S if self.is_complete else _FORGET_ENDS_S)
 
     @property
     def as_forgotten(self) -> ForgottenRequest:
-        """What was known of it."""
+        """Crashes and probes of the request."""
         return ForgottenRequest(tuple(self.ends.values()), frozenset(self.trials))
 
 
 @dataclass(slots=True)
 class Quarantine:
-    """What the fleet knows of requests under which upstreams ended."""
+    """Tracks the requests under which upstreams crashed, as reported by the whole fleet."""
 
     _suspects: dict[RequestDigest, _Suspect] = field(default_factory=dict)
     _ended_s: dict[UpstreamKey, float] = field(default_factory=dict)
@@ -140,16 +141,16 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether nothing is known of any request."""
+        """Whether no request is tracked."""
         return not self._suspects
 
     def add_end(self, end: UpstreamEnd, now_s: float, *, age_s: float = 0.0) -> bool:
-        """Take the end of an upstream, and return whether it was not known yet.
+        """Add the crash of an upstream, and return whether it is new.
 
         Parameters
         ----------
         age_s
-            How long ago it was.
+            Seconds since the crash.
         """
         suspect = self._suspects.setdefault(end.digest, _Suspect())
         ended_s = now_s - age_s
@@ -165,14 +166,14 @@
         return True
 
     def add_trial(self, trial: Trial, now_s: float, *, age_s: float = 0.0) -> None:
-        """Note that some instance sends a quarantined request once more, or did so a while ago."""
+        """Add a probe that some instance sends now, or sent `age_s` seconds ago."""
         suspect = self._suspects.get(trial.digest)
         if suspect is not None and trial not in suspect.trials:
             suspect.trials.add(trial)
             suspect.latest_s = max(suspect.latest_s, now_s - min(age_s, _MOST_AGE_S))
 
     def drop_end(self, digest: RequestDigest, upstream: UpstreamKey) -> None:
-        """Take back the end of one upstream."""
+        """Remove the crash of one upstream."""
         suspect = self._suspects.get(digest)
         if suspect is None:
             return
@@ -181,11 +182,11 @@
             del self._suspects[digest]
 
     def clear(self, digest: RequestDigest) -> None:
-        """Forget a request: it had a whole answer."""
+        """Forget a request that had a complete answer."""
         self._suspects.pop(digest, None)
 
     def ends(self, digest: RequestDigest) -> tuple[UpstreamEnd, ...]:
-        """Return the ends under a request, in the order in which they were learnt."""
+        """Return the crashes under a request, in the order in which they were added."""
         suspect = self._suspects.get(digest)
         return () if suspect is None else tuple(suspect.ends.values())
 
@@ -197,16 +198,16 @@
         return not suspect.may_have_one_cause or now_s >= suspect.complete_s + DOUBT_S
 
     def is_trial_due(self, digest: RequestDigest, now_s: float) -> bool:
-        """Return whether a quarantined request may be sent once more."""
+        """Return whether a quarantined request may be probed now."""
         suspect = self._suspects.get(digest)
         if suspect is None or not suspect.is_complete:
             return False
         return now_s >= self._trial_s(suspect)
 
     def come_back_s(self, digest: RequestDigest, now_s: float) -> float:
-        """Return after how many seconds a request that is held may be sent again.
+        """Return the seconds after which the caller of a quarantined request should retry.
 
-        The first trial of a request whose ends may have had another cause soon tells.
+        If its crashes may have another cause, the next probe soon shows whether it is harmless.
         """
         suspect = self._suspects.get(digest)
         if suspect is None:
@@ -217,15 +218,15 @@
         return max(_COME_BACK_S, min(trial_s, suspect.forgotten_s) - now_s)
 
     def trials(self, digest: RequestDigest) -> frozenset[Trial]:
-        """Return the trials of a request."""
+        """Return the probes of a request."""
         suspect = self._suspects.get(digest)
         return frozenset() if suspect is None else frozenset(suspect.trials)
 
     def forget_old(self, now_s: float) -> list[ForgottenRequest]:
-        """Forget requests that are too old, and return what was known of them.
+        """Forget expired requests, and return their crashes and probes.
 
-        Along with these come all requests forgotten since the last time because there were too
-        many.
+        Requests that were forgotten since the last call because there were too many are returned,
+        too.
         """
         for digest in [d for d, s in self._suspects.items() if now_s >= s.forgotten_s]:
             self._forgotten.append(self._suspects.pop(digest).as_forgotten)
@@ -233,21 +234,21 @@
         return forgotten
 
     def all_ends(self) -> list[UpstreamEnd]:
-        """Return all ends that are known."""
+        """Return the crashes of all requests."""
         return [end for suspect in self._suspects.values() for end in suspect.ends.values()]
 
     def all_trials(self) -> list[Trial]:
-        """Return all trials that are known."""
+        """Return the probes of all requests."""
         return [trial for suspect in self._suspects.values() for trial in suspect.trials]
 
     def drop_trial(self, trial: Trial) -> None:
-        """Take back a trial that reached no upstream."""
+        """Remove a probe that reached no upstream."""
         suspect = self._suspects.get(trial.digest)
         if suspect is not None:
             suspect.trials.discard(trial)
 
     def _may_have_other_cause(self, suspect: _Suspect) -> bool:
-        """Return whether something else than the request may have ended its upstreams."""
+        """Return whether something other than the request may have crashed its upstreams."""
         return suspect.may_have_one_cause or any(
             upstream not in suspect.ends
             and abs(ended_s - suspect.latest_end_s) <= _OTHER_ENDS_WITHIN_S
@@ -255,7 +256,7 @@
         )
 
     def _trial_s(self, suspect: _Suspect) -> float:
-        """Return when the next trial may be made, infinite after the last one."""
+        """Return the time from which the next probe may be sent, infinite after the last one."""
         made = len(suspect.trials)
         if made >= MOST_TRIALS:
             return math.inf
--- a/mothstand/core/records.py
+++ b/mothstand/core/records.py
@@ -1,16 +1,17 @@
-"""The records of the platform's log, as the folds read them.
+"""Data classes of the records in the platform's log, which the folds read.
 
 Streams
 -------
 ``config``
     `ConfigPublished`: the operators' configuration.
 ``ledger-N``
-    The grants of ledger shard N: `BudgetPaid`, `EpochOpened`, `GrantAsked`, `EscrowReturned`,
+    Grants of ledger shard N: `BudgetPaid`, `EpochOpened`, `GrantAsked`, `EscrowReturned`,
     `EpochClosed`, `EpochReleased`.
 ``bills-N``
     `BillsPosted`: one line for each settled request of shard N.
 ``intents-N``
-    `RunIntended`: who may run a request that must not be repeated.
+    `RunIntended`, `RunEnded`: owner and result of the only run of a request that must not be
+    repeated.
 ``orders``
     `EngineOrdered`: orders to model engines, for the audit trail.
 """
@@ -26,16 +27,16 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordId:
-    """Identifies one record, however often it is appended.
+    """Identity of a record, which stays the same if the record is appended again.
 
-    An append whose answer is lost is sent again with the same id; the folds drop the second.
+    An append whose answer is lost is repeated with the same id; the folds drop the second record.
 
     Parameters
     ----------
     author
         Incarnation of the writing process.
     sequence
-        Counts the author's records on one stream, from 1, without gaps in order.
+        Number of the record among the author's records on the stream, from 1 without gaps.
     """
 
     author: str
@@ -43,7 +44,7 @@
 
 
 class Side(Enum):
-    """Which of an epoch's two processes speaks."""
+    """The process of an epoch that wrote a record: its holder or its witness."""
 
     HOLDER = "holder"
     WITNESS = "witness"
@@ -51,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BudgetPaid:
-    """States a budget's cumulative paid total, so that replays and races are harmless."""
+    """Cumulative paid total of a budget; a total makes replays and races harmless."""
 
     record_id: RecordId
     budget: BudgetName
@@ -61,15 +62,15 @@
 
 @dataclass(frozen=True, slots=True)
 class EpochOpened:
-    """Opens a leaseholder epoch of a shard in a data centre; its offset is the epoch.
+    """Opens a leaseholder epoch of a shard in a data centre; the record's offset is the epoch.
 
     Parameters
     ----------
     prior_epoch
-        The epoch that the writer believes current. The fold accepts the record only if it is, so
-        that of two racing takeovers one loses everywhere.
+        The current epoch as the writer knows it. The fold accepts the record only if that is
+        correct, so all readers accept the same one of two concurrent takeovers.
     witness
-        The only process whose acknowledgement lets the holder spend; None when it stands alone.
+        The only process whose acknowledgement lets the holder spend; None without a witness.
     """
 
     record_id: RecordId
@@ -88,14 +89,15 @@
     Parameters
     ----------
     tokens
-        How many more tokens the holder wants; the fold grants at most what is left.
+        Additional tokens that the holder requests; the fold grants at most what is left.
     spent_tokens
-        What the epoch has settled of this budget so far, which lets every reader tell
-        "exhausted" from "held elsewhere".
+        Tokens of this budget that the epoch has settled so far. They let every reader distinguish
+        an exhausted budget from one whose tokens are held by other epochs.
     allowance_tokens
-        Of `tokens`, what the holder may spend without its witness.
+        Part of `tokens` that the holder may spend without its witness.
     promotion_tokens
-        Of `tokens`, what the witness may spend by itself after sealing, while the log is out.
+        Part of `tokens` that the witness may spend by itself after sealing, while the log is
+        unreachable.
     """
 
     budget: BudgetName
@@ -117,10 +119,10 @@
 
 @dataclass(frozen=True, slots=True)
 class EscrowReturned:
-    """Gives back part of an open grant.
+    """Returns part of an open grant.
 
-    The holder reserves the tokens in its epoch first, with its witness's acknowledgement, and
-    never settles that reservation: nobody can spend them there again.
+    The holder first reserves the tokens in its epoch, acknowledged by its witness, and never
+    settles that reservation, so they cannot be spent in this epoch again.
     """
 
     record_id: RecordId
@@ -132,7 +134,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BudgetSpend:
-    """What one side of an epoch vouches for, as absolute totals.
+    """Total spend of a budget that one side of an epoch confirms.
 
     Parameters
     ----------
@@ -140,7 +142,7 @@
         Reservations that the witness acknowledged: settled ones at their usage, open ones at
         their upper bound.
     own_tokens
-        What the side spent by itself: the holder from its allowance, the witness after its
+        Tokens that the side spent by itself: the holder from its allowance, the witness after its
         promotion.
     """
 
@@ -151,7 +153,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EpochClosed:
-    """Closes one side of an epoch; later ones of the same side may only lower the spend."""
+    """Closes one side of an epoch; later records of the same side may only lower the spend."""
 
     record_id: RecordId
     epoch: Epoch
@@ -162,7 +164,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SpentTokens:
-    """What an operator declares that an epoch spent of a budget."""
+    """Tokens of a budget that an epoch spent, as declared by an operator."""
 
     budget: BudgetName
     tokens: int
@@ -170,14 +172,14 @@
 
 @dataclass(frozen=True, slots=True)
 class EpochReleased:
-    """An operator's word that the silent processes of a superseded epoch will never speak.
+    """An operator's statement that unresponsive processes of a superseded epoch never return.
 
-    What they may have spent beyond `spent` goes back to the budgets.
+    Tokens that they possibly spent beyond `spent` go back to the budgets.
 
     Parameters
     ----------
     spent
-        For each of the epoch's budgets.
+        One entry for each budget of the epoch.
     """
 
     record_id: RecordId
@@ -190,13 +192,13 @@
 
 @dataclass(frozen=True, slots=True)
 class BillLine:
-    """The bill of one request; its request id is billed once, whoever posts it.
+    """The bill of one request; a request id is billed once, also if several instances post it.
 
     Parameters
     ----------
     estimated
-        The usage was never reported, since the instance that ran the request died; the line bills
-        the reservation's upper bound.
+        Whether the usage was never reported because the instance that ran the request died; the
+        line then bills the upper bound of the reservation.
     """
 
     request_id: str
@@ -227,7 +229,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunEnded:
-    """Says how the only run of a request ended, so that retries elsewhere learn it."""
+    """Status with which the only run of a request ended, for retries at other instances."""
 
     record_id: RecordId
     request_key: str
@@ -242,9 +244,9 @@
     Parameters
     ----------
     section
-        The section's header, as ``budget lund-2026``.
+        Header of the section, such as ``budget lund-2026``.
     values
-        Its keys and values; None when the section is gone.
+        Keys and values; None if the section is removed.
     """
 
     section: str
@@ -253,7 +255,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigPublished:
-    """A new configuration as its changes against the accepted one at `base_offset`."""
+    """A new configuration, as changes to the one accepted at `base_offset`."""
 
     record_id: RecordId
     base_offset: int
@@ -265,16 +267,16 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineOrdered:
-    """States an order to an engine and what became of it, for the audit trail.
+    """An order to an engine and its outcome, for the audit trail.
 
     Parameters
     ----------
     fencing
-        Offset of the configuration that the order carries out.
+        Offset of the configuration that the order applies.
     setup
-        What the engine should load, as text.
+        Setup that the engine should load, as text.
     outcome
-        What the engine answered, or that it did not.
+        Answer of the engine, or that there was none.
     """
 
     record_id: RecordId
@@ -293,7 +295,7 @@
     Parameters
     ----------
     offset
-        Of the record that put it in force.
+        Offset of the record that put it in force.
     """
 
     record_id: RecordId
@@ -306,7 +308,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GrantImage:
-    """One grant in a snapshot; the fields are those of `ledger_state.Grant`."""
+    """One grant in a snapshot, with the fields of `ledger_state.Grant`."""
 
     budget: BudgetName
     granted_tokens: int
@@ -320,7 +322,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EpochImage:
-    """One epoch in a snapshot; the fields are those of `ledger_state.EpochState`."""
+    """One epoch in a snapshot, with the fields of `ledger_state.EpochState`."""
 
     epoch: Epoch
     data_centre: DataCentre
@@ -340,7 +342,7 @@
     Parameters
     ----------
     retired
-        What epochs consumed that are no longer kept one by one.
+        Total consumption of epochs that are no longer stored individually, by budget.
     current
         The current epoch of each data centre.
     """
@@ -365,7 +367,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """What a fold decided about one record."""
+    """Decision of a fold about one record."""
 
     accepted: bool
     reason: str = ""
--- a/mothstand/core/routes.py
+++ b/mothstand/core/routes.py
@@ -1,4 +1,4 @@
-"""Routes, services and workspaces of the gateway, and the choice of the route of a request."""
+"""Configuration of the gateway: routes, services and workspaces, with the route of a request."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class RequestKind(Enum):
-    """What may be repeated of a request."""
+    """Kind of a request, which decides whether it may be sent again."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -26,20 +26,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Where requests of a host and path prefix go, and what may be done with them.
+    """Destinations and rules for the requests of a host and path prefix.
 
     Parameters
     ----------
     objective_s
-        A response within this time, or a stream's first event, earns its full worth.
+        Time within which a response, or the first event of a stream, has its full value.
     priority
-        0 is the most urgent.
+        0 is the highest.
     attempts
-        Upstreams that one request may be sent to.
-    public
+        Maximum number of upstreams that one request is sent to.
+    is_public
         Whether requests need no key.
-    resumable
-        Whether another upstream may go on with a broken stream.
+    is_resumable
+        Whether another upstream may continue a broken stream.
     """
 
     name: str
@@ -60,7 +60,7 @@
         return self.kind is RequestKind.IDEMPOTENT or self.resumable
 
     def service_for(self, request_id: str) -> str:
-        """Return the service of one request; a request's own retries stay with it."""
+        """Return the service of a request; retries with the same id go to the same service."""
         if len(self.destinations) == 1:
             return self.destinations[0].service
         total = sum(d.weight for d in self.destinations)
@@ -78,8 +78,8 @@
 
     Parameters
     ----------
-    event_tokens
-        Tokens that one event of a stream counts for; 0 for a plain service.
+    tokens_per_event
+        Tokens that one event of a stream costs; 0 for a plain service.
     """
 
     name: str
@@ -90,14 +90,14 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewayWorkspace:
-    """A workspace: its callers' keys and its prepaid total.
+    """A workspace: the keys of its callers and its prepaid total.
 
     Parameters
     ----------
     priority
-        Goes before the route's, where given.
+        Overrides the priority of the route, if given.
     prepaid_tokens
-        Total of all that it may ever consume; None for no limit.
+        Total tokens that it may ever consume; None for no limit.
     """
 
     name: str
@@ -108,7 +108,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestLimits:
-    """Bounds of what a caller may send."""
+    """Limits on the size and the timing of requests."""
 
     header_bytes: int = 16384
     body_bytes: int = 4_194_304
@@ -138,7 +138,7 @@
         object.__setattr__(self, "_by_key", by_key)
 
     def route_for(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix of the path, or None."""
+        """Return the route of the host with the longest matching path prefix, or None."""
         name = host.partition(":")[0].lower()
         for route in self._by_host.get(name, ()):
             if path.startswith(route.path_prefix):
@@ -146,5 +146,5 @@
         return None
 
     def workspace_for(self, key: str) -> GatewayWorkspace | None:
-        """Return the workspace that holds a caller's key, or None."""
+        """Return the workspace of a caller's key, or None."""
         return self._by_key.get(key)
