--- a/mothstand/core/placement.py
+++ b/mothstand/core/placement.py
@@ -53,7 +53,7 @@
 
 @dataclass(slots=True)
 class _Known:
-    """This instance's observations of one upstream."""
+    """Observations of one upstream by this instance."""
 
     running: int = 0
     unread_tokens: float = 0.0
@@ -64,7 +64,7 @@
 
 @dataclass(slots=True)
 class Placed:
-    """A request at an upstream, with the tokens it counts as unread there."""
+    """A request sent to an upstream, with its prompt tokens that count as unread there."""
 
     upstream: RegisteredUpstream
     unread_tokens: float
--- a/mothstand/core/routing.py
+++ b/mothstand/core/routing.py
@@ -76,7 +76,7 @@
 
 @dataclass(slots=True)
 class UpstreamHealth:
-    """This instance's observations of one upstream, and the upstream's latest load report.
+    """Observations of one upstream by this instance, and the upstream's latest load report.
 
     Parameters
     ----------
--- a/mothstand/tests/test_upstreams.py
+++ b/mothstand/tests/test_upstreams.py
@@ -123,7 +123,7 @@
         assert budget.take(10.1, sharers=1).is_granted
 
     def test_load_that_moves_to_another_instance_is_counted_once(self) -> None:
-        # Guards against windows of several instances that together cover more than one fleet window.
+        # Guards against windows of the instances that together cover more than a fleet window.
         settings = RetryBudgetSettings(ratio=0.2, burst=0, window_s=10, delivery_s=1)
         retries_s = []
         for began_s in (0.0, 10.0):
