--- a/mothstand/core/admission.py
+++ b/mothstand/core/admission.py
@@ -17,28 +17,28 @@
 
 #: Highest mean relative delay (time to the start of an answer, divided by the objective) at which
 #: all requests are admitted. With a higher mean the slower half of the answers is late.
-_BEARABLE = 0.6
+_MAX_RELATIVE_DELAY = 0.6
 
 #: Exponent of the rejected share. The admitted load settles at the upstreams' capacity; at a demand
 #: of twice the capacity the mean is then a quarter above `_MAX_RELATIVE_DELAY`.
-_STEEPNESS = 3.0
+_SHED_EXPONENT = 3.0
 
 #: Minimum share of admitted requests, so that the recovery of the upstreams is noticed.
-_LEAST_SHARE = 0.25
+_MIN_ADMITTED_SHARE = 0.25
 
 #: Time constant of the mean: about the time in which a queue builds up or drains.
-_WINDOW_S = 1.0
+_TIME_CONSTANT_S = 1.0
 
 #: Decayed number of answers that a mean requires: one or two slow ones may be chance.
-_LEAST_ANSWERS = 6.0
+_MIN_ANSWERS = 6.0
 
 #: Factor on the maximum relative delay for each priority level below the highest, so that lower
 #: priorities are rejected first, but none entirely.
-_PRIORITY_STEP = 0.85
+_PRIORITY_FACTOR = 0.85
 
 #: Range in seconds of the random time after which callers retry, so that they do not all retry at
 #: once.
-_COME_BACK_S = (0.8, 2.4)
+_RETRY_AFTER_RANGE_S = (0.8, 2.4)
 
 
 @dataclass(slots=True)
@@ -46,38 +46,40 @@
     """Admission control of one service, from the start times of its recent answers."""
 
     _answers: float = 0.0
-    _relative_sum: float = 0.0
-    _at_s: float = -math.inf
-    _most_urgent: int | None = None
+    _relative_delay_sum: float = 0.0
+    _decayed_at_s: float = -math.inf
+    _most_urgent_priority: int | None = None
 
-    def answered(self, took_s: float, objective_s: float, now_s: float) -> None:
+    def record_response_time(self, elapsed_s: float, objective_s: float, now_s: float) -> None:
         """Record the time an upstream took to begin an answer, if the request has an objective."""
         if objective_s <= 0:
             return
-        self._fade(now_s)
+        self._decay(now_s)
         self._answers += 1.0
-        self._relative_sum += took_s / objective_s
+        self._relative_delay_sum += elapsed_s / objective_s
 
-    def share(self, priority: int, now_s: float) -> float:
+    def admitted_share(self, priority: int, now_s: float) -> float:
         """Return the share of requests of a priority to admit now."""
-        self._fade(now_s)
-        if self._most_urgent is None or priority < self._most_urgent:
-            self._most_urgent = priority
-        if self._answers < _LEAST_ANSWERS:
+        self._decay(now_s)
+        if self._most_urgent_priority is None or priority < self._most_urgent_priority:
+            self._most_urgent_priority = priority
+        if self._answers < _MIN_ANSWERS:
             return 1.0
-        relative = self._relative_sum / self._answers
-        bearable = _BEARABLE * _PRIORITY_STEP ** (priority - self._most_urgent)
-        if relative <= bearable:
+        relative_delay = self._relative_delay_sum / self._answers
+        max_relative_delay = _MAX_RELATIVE_DELAY * _PRIORITY_FACTOR ** (
+            priority - self._most_urgent_priority
+        )
+        if relative_delay <= max_relative_delay:
             return 1.0
-        return max(_LEAST_SHARE, (bearable / relative) ** _STEEPNESS)
+        return max(_MIN_ADMITTED_SHARE, (max_relative_delay / relative_delay) ** _SHED_EXPONENT)
 
-    def _fade(self, now_s: float) -> None:
-        kept = math.exp(min(0.0, self._at_s - now_s) / _WINDOW_S)
-        self._answers *= kept
-        self._relative_sum *= kept
-        self._at_s = max(self._at_s, now_s)
+    def _decay(self, now_s: float) -> None:
+        factor = math.exp(min(0.0, self._decayed_at_s - now_s) / _TIME_CONSTANT_S)
+        self._answers *= factor
+        self._relative_delay_sum *= factor
+        self._decayed_at_s = max(self._decayed_at_s, now_s)
 
 
-def come_back_s() -> float:
+def random_retry_after_s() -> float:
     """Return the seconds after which the caller of a rejected request should retry."""
-    return random.uniform(*_COME_BACK_S)
+    return random.uniform(*_RETRY_AFTER_RANGE_S)
--- a/mothstand/core/stall_watch.py
+++ b/mothstand/core/stall_detector.py
@@ -18,27 +18,27 @@
 
 
 @dataclass(slots=True)
-class StallWatch:
+class StallDetector:
     """Detects stalls by the missing ticks of the process, and remembers the latest one."""
 
-    _ticked_s: float = math.inf
-    _stalled_s: float = -math.inf
+    _last_tick_s: float = math.inf
+    _stall_began_s: float = -math.inf
     _reads_backlog_until_s: float = -math.inf
 
     def tick(self, now_s: float) -> None:
         """Record that the process is running."""
-        stall_s = now_s - self._ticked_s
+        stall_s = now_s - self._last_tick_s
         if stall_s > _STALL_S:
-            self._stalled_s = self._ticked_s
+            self._stall_began_s = self._last_tick_s
             # Reading the requests that arrived in a stall takes at most as long as the stall.
             self._reads_backlog_until_s = now_s + stall_s
-        self._ticked_s = now_s
+        self._last_tick_s = now_s
 
-    def sent_since_s(self, now_s: float) -> float:
+    def earliest_send_s(self, now_s: float) -> float:
         """Return the earliest time at which a request that is read now may have been sent."""
-        if now_s - self._ticked_s > _STALL_S:
+        if now_s - self._last_tick_s > _STALL_S:
             # The process has just resumed, and reads before its next tick.
-            return self._ticked_s
+            return self._last_tick_s
         if now_s < self._reads_backlog_until_s:
-            return self._stalled_s
+            return self._stall_began_s
         return now_s
