--- a/mothstand/core/config.py
+++ b/mothstand/core/config.py
@@ -152,7 +152,7 @@
                     *by_data_centre.get(upstream.data_centre, ()),
                     upstream,
                 )
-        object.__setattr__(self, "_serving", serving)
+        object.__setattr__(self, "_upstreams_serving", serving)
 
     def upstreams_serving(self, name: str) -> dict[DataCentre, tuple[Upstream, ...]]:
         """Return the upstreams that serve a model or a service, by data centre."""
@@ -282,10 +282,10 @@
     """Return an error message for each budget whose paid total decreased."""
     sentences = []
     for name, budget in new.budgets.items():
-        old_budget = old.budgets.get(name)
-        if old_budget is not None and budget.paid_tokens < old_budget.paid_tokens:
+        prior = old.budgets.get(name)
+        if prior is not None and budget.paid_tokens < prior.paid_tokens:
             sentences.append(
-                f"budget {name}: paid_tokens {budget.paid_tokens} is below {old_budget.paid_tokens};"
+                f"budget {name}: paid_tokens {budget.paid_tokens} is below {prior.paid_tokens};"
                 " it is a running total and only goes up"
             )
     return sentences
--- a/mothstand/core/orders.py
+++ b/mothstand/core/orders.py
@@ -168,7 +168,7 @@
         ]
         names = {engine.name for engine in assigned}
         self._assignments = {
-            name: duty for name, duty in self._assignments.items() if name in names
+            name: assignment for name, assignment in self._assignments.items() if name in names
         }
         for name in names - self._assignments.keys():
             backoff = Backoff(self.timing.retry_first_s, self.timing.retry_max_s)
--- a/mothstand/core/quarantine.py
+++ b/mothstand/core/quarantine.py
@@ -118,7 +118,7 @@
     @property
     def may_share_cause(self) -> bool:
         """Whether all attempts may have run at once: none began with all other crashes known."""
-        return all(end.known_crashes < CRASH_THRESHOLD - 1 for end in self.crashes.values())
+        return all(crash.known_crashes < CRASH_THRESHOLD - 1 for crash in self.crashes.values())
 
     @property
     def expires_s(self) -> float:
@@ -240,11 +240,11 @@
 
     def all_crashes(self) -> list[UpstreamCrash]:
         """Return the crashes of all requests."""
-        return [end for suspect in self._suspects.values() for end in suspect.crashes.values()]
+        return [crash for suspect in self._suspects.values() for crash in suspect.crashes.values()]
 
     def all_probes(self) -> list[Probe]:
         """Return the probes of all requests."""
-        return [trial for suspect in self._suspects.values() for trial in suspect.probes]
+        return [probe for suspect in self._suspects.values() for probe in suspect.probes]
 
     def drop_probe(self, probe: Probe) -> None:
         """Remove a probe that reached no upstream."""
@@ -256,8 +256,8 @@
         """Return whether something other than the request may have crashed its upstreams."""
         return suspect.may_share_cause or any(
             upstream not in suspect.crashes
-            and abs(ended_s - suspect.latest_crash_s) <= _OTHER_CRASHES_WITHIN_S
-            for upstream, ended_s in self._crash_times_s.items()
+            and abs(crashed_s - suspect.latest_crash_s) <= _OTHER_CRASHES_WITHIN_S
+            for upstream, crashed_s in self._crash_times_s.items()
         )
 
     def _next_probe_s(self, suspect: _Suspect) -> float:
--- a/mothstand/tests/test_config.py
+++ b/mothstand/tests/test_config.py
@@ -57,9 +57,9 @@
         """
         publishing = Publishing()
         assert publishing.publish(SECTIONS, base=0, author="ito").accepted
-        lost = publishing.publish(with_paid(2000), base=0, author="sato")
-        assert not lost.accepted
-        assert "ito" in lost.reason
+        refused = publishing.publish(with_paid(2000), base=0, author="sato")
+        assert not refused.accepted
+        assert "ito" in refused.reason
         assert publishing.fold.state.config.budgets["lund"].paid_tokens == 1000  # type: ignore[index]
 
     def test_record_appended_twice_is_applied_once(self) -> None:
--- a/mothstand/tests/test_quarantine.py
+++ b/mothstand/tests/test_quarantine.py
@@ -145,8 +145,8 @@
         assert make_quarantine(crash(0), crash(1), crash(2)).forget_expired(3599.0) == []
         quarantine = make_quarantine(crash(0), crash(1), crash(2))
         quarantine.add_probe(FIRST, 0.0)
-        ends = (crash(0), crash(1), crash(2))
-        assert quarantine.forget_expired(3600.0) == [ForgottenRequest(ends, frozenset({FIRST}))]
+        crashes = (crash(0), crash(1), crash(2))
+        assert quarantine.forget_expired(3600.0) == [ForgottenRequest(crashes, frozenset({FIRST}))]
         assert quarantine.is_empty
 
     def test_retained_requests_are_bounded(self) -> None:
