--- a/mothstand/core/admission.py
+++ b/mothstand/core/admission.py
@@ -59,7 +59,7 @@
         self._relative_delay_sum += elapsed_s / objective_s
 
     def admitted_share(self, priority: int, now_s: float) -> float:
-        """Return the share of requests of a priority to admit now."""
+        """Return the share of requests of a priority, where 0 is the highest, to admit now."""
         self._decay(now_s)
         if self._most_urgent_priority is None or priority < self._most_urgent_priority:
             self._most_urgent_priority = priority
--- a/mothstand/core/membership.py
+++ b/mothstand/core/membership.py
@@ -66,7 +66,7 @@
     member
         Identity in the peer's latest response, or None before the first one.
     seen_at_s
-        Monotonic time of the latest response; before the first one it only has an initial value.
+        Monotonic time of the latest response; not used before the first one (`member` is None).
     is_stopping
         Reported by the platform's list or by the peer itself.
     interval_s
--- a/mothstand/tests/test_quarantine.py
+++ b/mothstand/tests/test_quarantine.py
@@ -55,7 +55,7 @@
         assert not quarantine.is_quarantined(DIGEST, 0.0)
         assert quarantine.is_empty
 
-    def test_first_probe_is_immediate_only_for_a_possible_common_cause(self) -> None:
+    def test_first_probe_follows_the_grace_only_for_a_possible_common_cause(self) -> None:
         assert not make_quarantine(crash(0), crash(1), crash(2)).is_probe_due(
             DIGEST, COMMON_CAUSE_GRACE_S
         )
