--- a/mothstand/core/quarantine.py
+++ b/mothstand/core/quarantine.py
@@ -1,14 +1,14 @@
-"""Which requests are kept from the upstreams, because upstreams ended under them.
+"""Quarantine of requests that crash upstreams.
 
-The load that this answers: a request that ends each upstream which begins to run it, and that its
-caller sends again, each time with another id and to another instance. All requests that run there
-break with each upstream, so such a request must be stopped in the whole fleet after a few ends.
+A request may crash each upstream that begins to run it, and its caller sends it again with another
+id and to another instance. Each crash also breaks all other requests at that upstream, so such a
+request must be blocked in the whole fleet after a few crashes.
 
-A request that merely ran where upstreams ended must not be stopped for it. It is told by a whole
-answer: one that ends every upstream never has any, so a single answer clears it. A popular
-request runs at many upstreams at once, and may lose several of them to one other cause. Where
-all its ends may have had one cause, the quarantine leaves time for an answer; where upstreams ended
-without it, too, it soon sends the request once more.
+A request that only ran at upstreams which crashed for another reason must not be blocked. A
+complete answer distinguishes it: a request that crashes every upstream never has one, so a single
+answer clears it. A popular request runs at many upstreams at once and may lose several of them to
+one other cause. If all its crashes may share a cause, the quarantine waits for an answer first; if
+other upstreams crashed without it, too, it is soon probed.
 """
 
 from __future__ import annotations
@@ -21,53 +21,54 @@
     from .request_digest import RequestDigest
     from .upstreams import UpstreamKey
 
-#: A request under which so many upstreams have ended is quarantined.
+#: Number of upstream crashes after which a request is quarantined.
 CRASH_THRESHOLD = 3
 
-#: Trials of a quarantined request in the whole fleet, until it is forgotten. The operators allow
-#: one arrival more, which is left for an end that is never told: its instance was killed, too.
+#: Maximum number of probes of a quarantined request in the whole fleet, until it is forgotten. The
+#: operators allow it to reach one more upstream. That one is reserved for a crash that is never
+#: reported because the instance that noticed it was killed, too.
 MAX_PROBES = 2
 
-#: Where ends may have had one cause, an answer of a copy that still runs is waited for so long.
+#: Seconds to wait for an answer of a copy that still runs, if the crashes may share a cause.
 COMMON_CAUSE_GRACE_S = 1.0
 
-#: Pauses between the latest end or trial and the next trial.
+#: Pauses in seconds between the latest crash or probe and the next probe.
 _PROBE_PAUSES_S = (30.0, 150.0)
 
-#: The same where the ends may have had another cause.
+#: The same pauses if the crashes may have another cause than the request.
 _OTHER_CAUSE_PROBE_PAUSES_S = (COMMON_CAUSE_GRACE_S, 10.0)
 
-#: Ends of other upstreams so long before or after the latest one tell of another cause.
+#: Crashes of other upstreams within this time of the latest one indicate another cause.
 _OTHER_CRASHES_WITHIN_S = 10.0
 
-#: Least seconds after which to come back.
+#: Minimum seconds after which a caller should retry.
 _MIN_RETRY_AFTER_S = 1.0
 
-#: Ends are forgotten so long after the latest one, those of quarantined requests later.
+#: Seconds after the latest crash or probe until a request is forgotten, longer in quarantine.
 _FORGET_CRASHES_S = 600.0
 _FORGET_QUARANTINE_S = 3600.0
 
-#: Listed ends and trials count as this old at most: the clocks of machines may jump.
+#: Maximum age in seconds of listed crashes and probes: the clocks of machines may jump.
 _MAX_AGE_S = _PROBE_PAUSES_S[-1]
 
-#: Ends of upstreams whose times are remembered, the latest ones.
+#: Number of upstream crashes whose times are retained; the first noted are dropped.
 _MAX_CRASH_TIMES = 500
 
-#: Requests that are remembered; above this the one whose latest end is oldest is forgotten.
+#: Number of requests that are retained; above it the one that expires first is forgotten.
 _MAX_SUSPECTS = 2000
 
 
 @dataclass(frozen=True, slots=True)
 class UpstreamCrash:
-    """The end of an upstream while it had a request.
+    """The crash of an upstream while it ran a request.
 
     Parameters
     ----------
     request_id, instance
-        Of the attempt that broke, for whoever looks for it in the logs.
-    known_ends
-        Ends under the same request that its instance knew when it began the attempt, and that no
-        answer has cleared since.
+        Identify the broken attempt in the logs.
+    known_crashes
+        Number of crashes under the same request that its instance knew when it began the attempt,
+        and that no answer has cleared since.
     """
 
     digest: RequestDigest
@@ -83,8 +84,8 @@
 
     Parameters
     ----------
-    claim
-        Unlike that of any other trial, so that giving one back never gives back another.
+    claim_id
+        Unique id, so that dropping a probe never drops another one.
     """
 
     digest: RequestDigest
@@ -93,7 +94,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ForgottenRequest:
-    """What was known of a request that is forgotten."""
+    """Crashes and probes of a request that is no longer tracked."""
 
     crashes: tuple[UpstreamCrash, ...]
     probes: frozenset[Probe]
@@ -101,7 +102,7 @@
 
 @dataclass(slots=True)
 class _Suspect:
-    """A request under which upstreams have ended, and not answered since."""
+    """A request under which upstreams have crashed, without a complete answer since."""
 
     latest_event_s: float = -math.inf
     latest_crash_s: float = -math.inf
@@ -111,30 +112,30 @@
 
     @property
     def has_reached_threshold(self) -> bool:
-        """Whether there are enough ends for a quarantine."""
+        """Whether there are enough crashes for a quarantine."""
         return len(self.crashes) >= CRASH_THRESHOLD
 
     @property
     def may_share_cause(self) -> bool:
-        """Whether no attempt was begun with all other ends known, so all may have run at once."""
-        return all(end.known_crashes < CRASH_THRESHOLD - 1 for end in self.crashes.values())
+        """Whether all attempts may have run at once: none began with all other crashes known."""
+        return all(crash.known_crashes < CRASH_THRESHOLD - 1 for crash in self.crashes.values())
 
     @property
     def expires_s(self) -> float:
-        """When nothing is kept of it any more."""
+        """Time at which the request is forgotten."""
         return self.latest_event_s + (
             _FORGET_QUARANTINE_S if self.has_reached_threshold else _FORGET_CRASHES_S
         )
 
     @property
     def forgotten_request(self) -> ForgottenRequest:
-        """What was known of it."""
+        """Crashes and probes of the request."""
         return ForgottenRequest(tuple(self.crashes.values()), frozenset(self.probes))
 
 
 @dataclass(slots=True)
 class Quarantine:
-    """What the fleet knows of requests under which upstreams ended."""
+    """Tracks the requests under which upstreams crashed, as reported by the whole fleet."""
 
     _suspects: dict[RequestDigest, _Suspect] = field(default_factory=dict)
     _crash_times_s: dict[UpstreamKey, float] = field(default_factory=dict)
@@ -142,16 +143,16 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether nothing is known of any request."""
+        """Whether no request is tracked."""
         return not self._suspects
 
     def add_crash(self, crash: UpstreamCrash, now_s: float, *, age_s: float = 0.0) -> bool:
-        """Take the end of an upstream, and return whether it was not known yet.
+        """Add the crash of an upstream, and return whether it is new.
 
         Parameters
         ----------
         age_s
-            How long ago it was.
+            Seconds since the crash.
         """
         suspect = self._suspects.setdefault(crash.digest, _Suspect())
         crashed_s = now_s - age_s
@@ -167,14 +168,14 @@
         return True
 
     def add_probe(self, probe: Probe, now_s: float, *, age_s: float = 0.0) -> None:
-        """Note that some instance sends a quarantined request once more, or did so a while ago."""
+        """Add a probe that some instance sends now, or sent `age_s` seconds ago."""
         suspect = self._suspects.get(probe.digest)
         if suspect is not None and probe not in suspect.probes:
             suspect.probes.add(probe)
             suspect.latest_event_s = max(suspect.latest_event_s, now_s - min(age_s, _MAX_AGE_S))
 
     def drop_crash(self, digest: RequestDigest, upstream: UpstreamKey) -> None:
-        """Take back the end of one upstream."""
+        """Remove the crash of one upstream."""
         suspect = self._suspects.get(digest)
         if suspect is None:
             return
@@ -183,11 +184,11 @@
             del self._suspects[digest]
 
     def clear(self, digest: RequestDigest) -> None:
-        """Forget a request: it had a whole answer."""
+        """Forget a request that had a complete answer."""
         self._suspects.pop(digest, None)
 
     def crashes(self, digest: RequestDigest) -> tuple[UpstreamCrash, ...]:
-        """Return the ends under a request, in the order in which they were learnt."""
+        """Return the crashes under a request, in the order in which they were added."""
         suspect = self._suspects.get(digest)
         return () if suspect is None else tuple(suspect.crashes.values())
 
@@ -202,16 +203,16 @@
         )
 
     def is_probe_due(self, digest: RequestDigest, now_s: float) -> bool:
-        """Return whether a quarantined request may be sent once more."""
+        """Return whether a quarantined request may be probed now."""
         suspect = self._suspects.get(digest)
         if suspect is None or not suspect.has_reached_threshold:
             return False
         return now_s >= self._next_probe_s(suspect)
 
     def retry_after_s(self, digest: RequestDigest, now_s: float) -> float:
-        """Return after how many seconds a request that is held may be sent again.
+        """Return the seconds after which the caller of a quarantined request should retry.
 
-        The first trial of a request whose ends may have had another cause soon tells.
+        If its crashes may have another cause, the next probe soon shows whether it is harmless.
         """
         suspect = self._suspects.get(digest)
         if suspect is None:
@@ -222,15 +223,15 @@
         return max(_MIN_RETRY_AFTER_S, min(probe_s, suspect.expires_s) - now_s)
 
     def probes(self, digest: RequestDigest) -> frozenset[Probe]:
-        """Return the trials of a request."""
+        """Return the probes of a request."""
         suspect = self._suspects.get(digest)
         return frozenset() if suspect is None else frozenset(suspect.probes)
 
     def forget_expired(self, now_s: float) -> list[ForgottenRequest]:
-        """Forget requests that are too old, and return what was known of them.
+        """Forget expired requests, and return their crashes and probes.
 
-        Along with these come all requests forgotten since the last time because there were too
-        many.
+        Requests that were forgotten since the last call because there were too many are returned,
+        too.
         """
         for digest in [d for d, s in self._suspects.items() if now_s >= s.expires_s]:
             self._forgotten.append(self._suspects.pop(digest).forgotten_request)
@@ -238,29 +239,29 @@
         return forgotten
 
     def all_crashes(self) -> list[UpstreamCrash]:
-        """Return all ends that are known."""
-        return [end for suspect in self._suspects.values() for end in suspect.crashes.values()]
+        """Return the crashes of all requests."""
+        return [crash for suspect in self._suspects.values() for crash in suspect.crashes.values()]
 
     def all_probes(self) -> list[Probe]:
-        """Return all trials that are known."""
-        return [trial for suspect in self._suspects.values() for trial in suspect.probes]
+        """Return the probes of all requests."""
+        return [probe for suspect in self._suspects.values() for probe in suspect.probes]
 
     def drop_probe(self, probe: Probe) -> None:
-        """Take back a trial that reached no upstream."""
+        """Remove a probe that reached no upstream."""
         suspect = self._suspects.get(probe.digest)
         if suspect is not None:
             suspect.probes.discard(probe)
 
     def _may_have_other_cause(self, suspect: _Suspect) -> bool:
-        """Return whether something else than the request may have ended its upstreams."""
+        """Return whether something other than the request may have crashed its upstreams."""
         return suspect.may_share_cause or any(
             upstream not in suspect.crashes
-            and abs(ended_s - suspect.latest_crash_s) <= _OTHER_CRASHES_WITHIN_S
-            for upstream, ended_s in self._crash_times_s.items()
+            and abs(crashed_s - suspect.latest_crash_s) <= _OTHER_CRASHES_WITHIN_S
+            for upstream, crashed_s in self._crash_times_s.items()
         )
 
     def _next_probe_s(self, suspect: _Suspect) -> float:
-        """Return when the next trial may be made, infinite after the last one."""
+        """Return the time from which the next probe may be sent, infinite after the last one."""
         probe_count = len(suspect.probes)
         if probe_count >= MAX_PROBES:
             return math.inf
--- a/mothstand/tests/test_quarantine.py
+++ b/mothstand/tests/test_quarantine.py
@@ -1,4 +1,4 @@
-"""When a request under which upstreams ended is kept from others, tried again, and forgotten."""
+"""Tests of when a request that may crash upstreams is quarantined, probed and forgotten."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def crash(number: int, *, known_crashes: int | None = None) -> UpstreamCrash:
-    """Return the end of an upstream; as a rule all ends before it were known to its instance."""
+    """Return the crash of an upstream; by default its instance knew all earlier crashes."""
     known = number if known_crashes is None else known_crashes
     return UpstreamCrash(DIGEST, UpstreamKey(f"u{number}", 1), f"r{number}", "i", known)
 
@@ -38,12 +38,13 @@
         assert make_quarantine(crash(0), crash(1), crash(2)).is_quarantined(DIGEST, 0.0)
 
     def test_crash_reported_several_times_counts_once(self) -> None:
-        # Guards against all requests of one upstream that ends, or two that tell of one end.
+        # Guards against several reports of one crash: each request at the upstream, or two
+        # instances, may report it.
         quarantine = make_quarantine(crash(0), crash(0), crash(0, known_crashes=2))
         assert len(quarantine.crashes(DIGEST)) == 1
 
     def test_concurrent_crashes_quarantine_after_the_grace(self) -> None:
-        # Guards against a popular request that is refused as soon as several upstreams end at once.
+        # Guards against refusing a popular request as soon as several upstreams crash at once.
         quarantine = make_quarantine(*(crash(n, known_crashes=0) for n in range(CRASH_THRESHOLD)))
         assert not quarantine.is_quarantined(DIGEST, COMMON_CAUSE_GRACE_S / 2)
         assert quarantine.is_quarantined(DIGEST, COMMON_CAUSE_GRACE_S)
@@ -54,7 +55,7 @@
         assert not quarantine.is_quarantined(DIGEST, 0.0)
         assert quarantine.is_empty
 
-    def test_first_probe_is_immediate_only_for_a_possible_common_cause(self) -> None:
+    def test_first_probe_follows_the_grace_only_for_a_possible_common_cause(self) -> None:
         assert not make_quarantine(crash(0), crash(1), crash(2)).is_probe_due(
             DIGEST, COMMON_CAUSE_GRACE_S
         )
@@ -81,14 +82,14 @@
         assert quarantine.retry_after_s(DIGEST, 20.0) == 10.0
 
     def test_crash_without_the_request_brings_the_first_probe_forward(self) -> None:
-        # Guards against a popular request that is refused for long after all upstreams ended twice.
+        # Guards against refusing a popular request for long after all upstreams crashed twice.
         quarantine = make_quarantine(crash(0), crash(1), crash(2))
         quarantine.add_crash(OTHER, 0.5)
         assert quarantine.is_quarantined(DIGEST, 0.0)
         assert quarantine.is_probe_due(DIGEST, COMMON_CAUSE_GRACE_S)
 
     def test_old_listed_crash_brings_no_probe_forward(self) -> None:
-        # Guards against an instance that starts, takes old ends for new ones, and tries at once.
+        # Guards against a starting instance that takes old crashes for new ones and probes at once.
         quarantine = Quarantine()
         for one in (crash(0), crash(1), crash(2)):
             quarantine.add_crash(one, 0.0)
@@ -96,14 +97,14 @@
         assert not quarantine.is_probe_due(DIGEST, 29.0)
 
     def test_recent_listed_crash_brings_the_first_probe_forward(self) -> None:
-        # Guards against a restart that forgets that upstreams also ended for another cause.
+        # Guards against a restart that forgets that upstreams also crashed for another cause.
         quarantine = Quarantine()
         for one, age_s in ((crash(0), 5.0), (crash(1), 4.0), (crash(2), 3.0), (OTHER, 2.0)):
             quarantine.add_crash(one, 0.0, age_s=age_s)
         assert quarantine.is_probe_due(DIGEST, 0.0)
 
     def test_probe_pauses_continue_after_a_restart(self) -> None:
-        # Guards against restarts in series, each of which begins all pauses anew.
+        # Guards against repeated restarts that each begin all pauses anew.
         quarantine = Quarantine()
         for one in (crash(0), crash(1), crash(2)):
             quarantine.add_crash(one, 0.0, age_s=25.0)
@@ -114,7 +115,7 @@
         assert quarantine.is_probe_due(DIGEST, 130.0)
 
     def test_crashes_of_any_age_are_retained(self) -> None:
-        # Guards against a time of day that jumps, and lets a quarantined request through.
+        # Guards against a jump of the system clock that lets a quarantined request through.
         quarantine = Quarantine()
         for one in (crash(0), crash(1), crash(2)):
             quarantine.add_crash(one, 0.0, age_s=1e9)
@@ -128,7 +129,7 @@
         assert quarantine.is_probe_due(DIGEST, 60.0)
 
     def test_dropping_a_probe_twice_leaves_other_probes(self) -> None:
-        # Guards against one trial more for each time that the same one is given back.
+        # Guards against an additional probe each time the same one is dropped.
         quarantine = make_quarantine(crash(0), crash(1), crash(2))
         quarantine.add_probe(FIRST, 30.0)
         quarantine.drop_probe(FIRST)
@@ -144,12 +145,12 @@
         assert make_quarantine(crash(0), crash(1), crash(2)).forget_expired(3599.0) == []
         quarantine = make_quarantine(crash(0), crash(1), crash(2))
         quarantine.add_probe(FIRST, 0.0)
-        ends = (crash(0), crash(1), crash(2))
-        assert quarantine.forget_expired(3600.0) == [ForgottenRequest(ends, frozenset({FIRST}))]
+        crashes = (crash(0), crash(1), crash(2))
+        assert quarantine.forget_expired(3600.0) == [ForgottenRequest(crashes, frozenset({FIRST}))]
         assert quarantine.is_empty
 
     def test_retained_requests_are_bounded(self) -> None:
-        # Guards against memory, or a store, that grows with each request that breaks.
+        # Guards against memory, or a store, that grows with each broken request.
         quarantine = make_quarantine(crash(0), crash(1), crash(2))
         for number in range(3000):
             digest = RequestDigest(f"d{number}")
--- a/mothstand/tests/test_stall_detector.py
+++ b/mothstand/tests/test_stall_detector.py
@@ -1,4 +1,4 @@
-"""Requests that came while a process hung."""
+"""Tests of the send times that are assumed for requests that arrive during a stall."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
         assert running_detector(5.0).earliest_send_s(5.1) == 5.1
 
     def test_requests_read_after_a_stall_may_date_from_its_start(self) -> None:
-        # Guards against requests of a stall that pay for retries after it as if sent then.
+        # Guards against requests of a stall that count for the retry budget as if sent after it.
         detector = running_detector(5.0)
         assert detector.earliest_send_s(9.0) == 5.0
         detector.tick(9.0)
