--- a/mothstand/cli.py
+++ b/mothstand/cli.py
@@ -1,4 +1,4 @@
-"""The ``mothstand`` command."""
+"""Command-line interface ``mothstand``."""
 
 from __future__ import annotations
 
@@ -36,7 +36,8 @@
     from collections.abc import Coroutine
     from typing import Any
 
-#: Exit codes: wrong settings or use, refused by the log's fold, not in force in time, log out.
+#: Exit codes: invalid settings or usage, refused by the fold, not in force in time, and
+#: log unreachable.
 EXIT_SETTINGS = 2
 EXIT_REFUSED = 3
 EXIT_NOT_IN_FORCE = 4
@@ -55,7 +56,7 @@
 def _set_up_logs() -> None:
     logging.use_absl_handler()
     logging.set_verbosity(logging.INFO)
-    # Libraries' own lines are no events of the catalogue.
+    # Log lines of libraries are not events of the catalogue.
     for library in ("httpx", "httpcore", "hpack", "asyncio"):
         logging_of_python.getLogger(library).setLevel(logging_of_python.WARNING)
 
@@ -94,12 +95,12 @@
         run_gateway(settings)
 
     def explain(self, *logs: str) -> None:
-        """Say from gateway instances' logs where budgets' tokens went, and what was refused.
+        """Show from gateway instances' logs how budgets were spent and which requests were refused.
 
         Parameters
         ----------
         logs
-            Paths of the logs, of one instance or of several each.
+            Paths of the logs; each may hold one instance or several.
         """
         texts = {log: Path(log).read_text(errors="replace").splitlines() for log in logs}
         for line in explanation_lines(explain(texts)):
@@ -156,16 +157,16 @@
         settings
             Path of the operator's INI file.
         base
-            Offset that the folder was made from; refused if another is in force.
+            Offset of the configuration that the folder is based on; refused if another is in force.
         timeout_s
-            How long to wait for it to be in force.
+            Seconds to wait until the configuration is in force.
         """
         sections = read_folder(Path(folder))
         operator = read_operator_settings(Path(settings))
         _run(_publish(operator, sections, base, timeout_s))
 
     def status(self, settings: str) -> None:
-        """Show configuration, epochs and budgets as the log tells them.
+        """Show configuration, epochs and budgets from the log.
 
         Parameters
         ----------
@@ -184,7 +185,7 @@
         _run(run())
 
     def audit(self, settings: str, contains: str = "") -> None:
-        """Show every change: of the configuration, and of who leads and holds what.
+        """Show all changes of the configuration, of leaseholders and of grants.
 
         Parameters
         ----------
@@ -204,12 +205,12 @@
         _run(run())
 
     def release(self, shard: int, epoch: int, settings: str) -> None:
-        """Give back what an epoch holds back whose processes have ended for good.
+        """Release the tokens that are stranded in an epoch whose processes have ended for good.
 
         Parameters
         ----------
         shard, epoch
-            As ``status`` shows them under "stranded".
+            As shown by ``status`` under "stranded".
         settings
             Path of the operator's INI file.
         """
@@ -272,7 +273,7 @@
 
 
 def main() -> None:
-    """Run the command; a wrong setting is one clear line and a non-zero exit code."""
+    """Run the command; report a settings or log error in one line and by the exit code."""
     try:
         fire.Fire(Commands(), name="mothstand")
     except SettingsError as error:
--- a/mothstand/clock.py
+++ b/mothstand/clock.py
@@ -1,4 +1,4 @@
-"""The clock as an interface, so that tests drive time by hand."""
+"""Clock interface, so that tests can control time, and the system clock."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 
 
 class Clock(ABC):
-    """A source of wall time, elapsed time and delays."""
+    """Source of wall time, elapsed time and delays."""
 
     @abstractmethod
     def now(self) -> datetime:
-        """Return the wall time in UTC, for people to read; never used for a decision."""
+        """Return the wall time in UTC, for display only; no decision may depend on it."""
 
     @abstractmethod
     def monotonic_s(self) -> float:
-        """Return seconds on a clock that never goes back, for every timeout and rate."""
+        """Return seconds on a clock that never goes back, for timeouts and rates."""
 
     def boot_s(self) -> float:
         """Return seconds on a clock that also counts while the machine is suspended."""
@@ -30,7 +30,7 @@
 
 
 class SystemClock(Clock):
-    """The clock of the machine."""
+    """Clock of the machine."""
 
     def now(self) -> datetime:
         """Return the machine's time in UTC."""
@@ -41,7 +41,7 @@
         return time.monotonic()
 
     def boot_s(self) -> float:
-        """Return the machine's clock that counts suspension, in seconds."""
+        """Return seconds of the machine's clock that includes time of suspension."""
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
     async def sleep(self, delay_s: float) -> None:
--- a/mothstand/docs_pages.py
+++ b/mothstand/docs_pages.py
@@ -1,6 +1,6 @@
-"""Reference pages that are made from the code; a test compares them with ``docs/``.
+"""Generator of the reference pages in ``docs/``; a test compares them with the code.
 
-Run ``python -m mothstand.docs_pages`` to write them.
+Run ``python -m mothstand.docs_pages`` to write the pages.
 """
 
 from __future__ import annotations
--- a/mothstand/errors.py
+++ b/mothstand/errors.py
@@ -1,8 +1,8 @@
-"""The closed list of error kinds and the table from kind to answer.
+"""Closed list of error kinds and the table of their answers.
 
-Every refusal that a caller can see is one of these kinds. The run state is part of the table, so
-that a refusal cannot be sent without saying what is true of the request. ``docs/ERRORS.md`` shows
-the same table and a test compares the two.
+Every refusal that a caller can see has one of these kinds. The run state is part of the table, so
+that each refusal says whether the request may have run. ``docs/ERRORS.md`` is generated from the
+table and a test compares the two.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class RunState(Enum):
-    """What is known of a refused request's effect at the upstream."""
+    """Whether a refused request has run at an upstream, as far as is known."""
 
     NOT_RUN = "not run"
     MAY_HAVE_RUN = "may have run"
@@ -20,7 +20,7 @@
 
 
 class ErrorKind(Enum):
-    """The closed list of error kinds."""
+    """Kind of an error, from a closed list."""
 
     UNAUTHORIZED = "unauthorized"
     MODEL_NOT_ALLOWED = "model_not_allowed"
@@ -52,18 +52,18 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerRow:
-    """How one error kind is answered.
+    """Answer to a request that is refused with one error kind.
 
     Parameters
     ----------
     status
         HTTP status code.
     run_state
-        What the answer says of the request's effect.
+        Whether the request has run at an upstream.
     retry_after_s
-        Seconds after which to come back; None when coming back does not help.
+        Seconds after which to retry; None if a retry does not help.
     text
-        What happened and what to do, for a person.
+        Human-readable message: what happened and what to do.
     """
 
     status: int
@@ -138,16 +138,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """A refused request.
+    """Refusal of a request.
 
     Parameters
     ----------
     kind
-        The row of the answer table.
+        Error kind, the key into `ANSWERS`.
     detail
-        The value at fault and what to do about it, added to the row's text.
+        The invalid value and what to do about it, added to the answer's message.
     retry_after_s
-        Overrides the row's seconds where the refuser knows better.
+        Overrides the answer's `retry_after_s` if a better value is known.
     """
 
     kind: ErrorKind
@@ -156,17 +156,17 @@
 
     @property
     def row(self) -> AnswerRow:
-        """The row of the answer table."""
+        """Answer to the refusal's kind."""
         return ANSWERS[self.kind]
 
     @property
     def come_back_s(self) -> float | None:
-        """Seconds after which to come back, or None."""
+        """Seconds after which to retry, or None if a retry does not help."""
         return self.row.retry_after_s if self.retry_after_s is None else self.retry_after_s
 
 
 class RefusedError(Exception):
-    """Carries a `Refusal` out of I/O code, where a result value would be lost in a stream."""
+    """Raised with a `Refusal` in I/O code, where a stream would lose a result value."""
 
     def __init__(self, refusal: Refusal) -> None:
         super().__init__(f"{refusal.kind.value}: {refusal.detail}")
@@ -174,4 +174,4 @@
 
 
 class SettingsError(ValueError):
-    """Settings that cannot be used; the message quotes the value and says what to write."""
+    """Raised for invalid settings; the message quotes the value and says what to write."""
--- a/mothstand/events.py
+++ b/mothstand/events.py
@@ -1,4 +1,4 @@
-"""Numbered log events; ``docs/EVENTS.md`` is their catalogue and a test compares the two."""
+"""Numbered log events; their catalogue ``docs/EVENTS.md`` is generated from this module."""
 
 from __future__ import annotations
 
@@ -10,57 +10,77 @@
 
 
 class Event(Enum):
-    """The closed list of events: number, absl level, meaning."""
+    """Closed list of log events, each with number, absl level and meaning."""
 
     INSTANCE_STARTED = (1001, logging.INFO, "The instance listens for callers and peers.")
-    INSTANCE_STOPPING = (1002, logging.INFO, "The instance takes no new work and drains.")
+    INSTANCE_STOPPING = (1002, logging.INFO, "The instance accepts no new work and drains.")
     INSTANCE_STOPPED = (1003, logging.INFO, "The instance has stopped.")
-    SETTINGS_CHANGED = (1005, logging.INFO, "A signal said that the settings file has changed.")
-    LINES_DROPPED = (1006, logging.WARNING, "More events came than may be written.")
-    KNOWLEDGE_TAKEN = (1007, logging.INFO, "A peer told what the store could not, at the start.")
-    TASK_FAILED = (1004, logging.ERROR, "A background task failed and is started again.")
-    CONFIG_IN_FORCE = (2001, logging.INFO, "A published configuration is in force here.")
-    CONFIG_REFUSED = (2002, logging.WARNING, "A published configuration lost or was not valid.")
+    SETTINGS_CHANGED = (1005, logging.INFO, "SIGHUP reported a change of the settings file.")
+    LINES_DROPPED = (1006, logging.WARNING, "Log lines above the rate limit were dropped.")
+    KNOWLEDGE_TAKEN = (
+        1007,
+        logging.INFO,
+        "At the start, a peer supplied what the store could not.",
+    )
+    TASK_FAILED = (1004, logging.ERROR, "A background task failed and is restarted.")
+    CONFIG_IN_FORCE = (
+        2001,
+        logging.INFO,
+        "A published configuration is in force at this instance.",
+    )
+    CONFIG_REFUSED = (2002, logging.WARNING, "A published configuration conflicted or was invalid.")
     PEER_SUSPECTED = (3001, logging.WARNING, "A peer has not answered for the suspicion time.")
-    PEER_SEEN = (3002, logging.INFO, "A peer answered for the first time or again.")
+    PEER_SEEN = (3002, logging.INFO, "A peer answered, for the first time or again.")
     MEMBER_SEEN = (3003, logging.INFO, "An instance announced itself for the first time.")
-    MEMBER_GONE = (3004, logging.WARNING, "An instance has not announced itself for long.")
+    MEMBER_GONE = (3004, logging.WARNING, "An instance's announcements have expired.")
     EPOCH_OPENED = (4001, logging.INFO, "A leaseholder epoch was opened for a ledger shard.")
     EPOCH_LOST = (4002, logging.WARNING, "This instance no longer leads a ledger shard.")
     EPOCH_CLOSED = (4003, logging.INFO, "One side of an epoch reported its spend and closed it.")
     EPOCH_SEALED = (4004, logging.WARNING, "The witness sealed an epoch.")
     WITNESS_PROMOTED = (4005, logging.WARNING, "The witness spends a sealed epoch's share itself.")
     WITNESS_LOST = (4006, logging.WARNING, "The leaseholder cannot reach its witness.")
-    GRANT_UNMET = (4007, logging.WARNING, "The log granted less escrow than was asked.")
-    ESCROW_RETURNED = (4008, logging.INFO, "Unused escrow went back for another data centre.")
+    GRANT_UNMET = (4007, logging.WARNING, "The log granted less escrow than requested.")
+    ESCROW_RETURNED = (4008, logging.INFO, "Unused escrow was returned for another data centre.")
     CLAIMS_WRITTEN = (4009, logging.INFO, "Claims on budgets were written to the store.")
-    TOKENS_LENT = (4010, logging.INFO, "Tokens of a budget were given to another instance.")
+    TOKENS_LENT = (4010, logging.INFO, "Tokens of a budget were lent to another instance.")
     TOKENS_BORROWED = (4011, logging.INFO, "Tokens of a budget came from another instance.")
-    CLAIMS_STRANDED = (4012, logging.WARNING, "Claims of an ended process stay claimed.")
-    CLAIMS_RECLAIMED = (4013, logging.INFO, "Claims that an ended process did not use are free.")
+    CLAIMS_STRANDED = (
+        4012,
+        logging.WARNING,
+        "Claims of a stopped or expired process stay claimed.",
+    )
+    CLAIMS_RECLAIMED = (4013, logging.INFO, "Unused claims of an expired process were freed.")
     CLAIMS_UNLOCKED = (4014, logging.WARNING, "Claims may be spent past their windows.")
-    CLAIMS_LOCKED = (4015, logging.INFO, "Claims may be spent up to their windows only.")
-    RENEWAL_WITHHELD = (4016, logging.ERROR, "A renewal's windows would not cover what was used.")
-    TOKENS_HANDED_OVER = (4017, logging.INFO, "Tokens were left to a peer: at a stop, or a rest.")
-    TOKENS_TAKEN_OVER = (4018, logging.INFO, "Tokens that a peer left came here.")
-    LOG_UNREACHABLE = (5001, logging.WARNING, "The platform's log does not answer.")
-    LOG_REACHABLE = (5002, logging.INFO, "The platform's log answers again.")
-    STREAM_BEHIND = (5004, logging.WARNING, "A stream of the store cannot be read for long.")
+    CLAIMS_LOCKED = (4015, logging.INFO, "Claims may be spent only up to their windows.")
+    RENEWAL_WITHHELD = (
+        4016,
+        logging.ERROR,
+        "A renewal's windows would not cover the tokens used.",
+    )
+    TOKENS_HANDED_OVER = (
+        4017,
+        logging.INFO,
+        "At a stop or as unused loans, tokens were handed over to a peer.",
+    )
+    TOKENS_TAKEN_OVER = (4018, logging.INFO, "Tokens that a peer handed over were taken over.")
+    LOG_UNREACHABLE = (5001, logging.WARNING, "The platform's log or store does not answer.")
+    LOG_REACHABLE = (5002, logging.INFO, "The platform's log or store answers again.")
+    STREAM_BEHIND = (5004, logging.WARNING, "A stream of the store has been unreadable for long.")
     STREAM_CAUGHT_UP = (5005, logging.INFO, "A stream of the store can be read again.")
-    RECORD_SKIPPED = (5003, logging.ERROR, "A log record cannot be read; every reader skips it.")
+    RECORD_SKIPPED = (5003, logging.ERROR, "A log record cannot be decoded; all readers skip it.")
     UPSTREAM_FAILED = (6001, logging.WARNING, "An upstream failed a request.")
-    ANSWER_BROKEN = (6002, logging.WARNING, "An answer broke off and was ended as an error.")
-    ANSWER_CONTINUED = (6003, logging.WARNING, "Another engine is to go on with a cut answer.")
+    ANSWER_BROKEN = (6002, logging.WARNING, "An answer broke off and was ended with an error.")
+    ANSWER_CONTINUED = (6003, logging.WARNING, "A broken answer is continued at another engine.")
     ENGINE_ORDERED = (6004, logging.INFO, "An engine was ordered to load models or change role.")
-    ENGINE_CONTESTED = (6005, logging.ERROR, "An engine keeps losing what it was ordered.")
-    ENGINE_SILENT = (6006, logging.WARNING, "An engine that takes orders does not answer.")
-    UPSTREAMS_LISTED = (6010, logging.INFO, "All registered upstreams were read.")
+    ENGINE_CONTESTED = (6005, logging.ERROR, "An engine repeatedly loses its ordered setup.")
+    ENGINE_SILENT = (6006, logging.WARNING, "An engine that accepts orders does not answer.")
+    UPSTREAMS_LISTED = (6010, logging.INFO, "The list of all registered upstreams was read.")
     UPSTREAM_REGISTERED = (6007, logging.INFO, "An upstream registered or changed its state.")
-    UPSTREAM_LEFT = (6008, logging.INFO, "An upstream's registration has ended.")
+    UPSTREAM_LEFT = (6008, logging.INFO, "An upstream was deregistered.")
     UPSTREAM_LAPSED = (
         6011,
         logging.INFO,
-        "A registration ended, and its upstream is used on: the store may have been away.",
+        "A registration ended; its upstream stays in use: the store may have been unreachable.",
     )
     REGISTRATIONS_REGAINED = (
         6012,
@@ -69,44 +89,56 @@
     )
     ATTEMPT_FAILED = (6009, logging.WARNING, "An upstream did not answer a request.")
     RETRY_GRANTED = (6013, logging.INFO, "A retry was taken from this instance's budget.")
-    RETRY_DENIED = (6014, logging.INFO, "A request may not be sent again: the budget is used up.")
-    BURST_SHARED = (6015, logging.INFO, "The part of the burst of retries changed; 0 for none.")
-    UPSTREAM_ENDED = (6016, logging.WARNING, "An upstream ended while it had these requests.")
-    END_NOTED = (6017, logging.INFO, "An upstream's end under a request was learnt here.")
+    RETRY_DENIED = (6014, logging.INFO, "A retry was denied: the retry budget is used up.")
+    BURST_SHARED = (
+        6015,
+        logging.INFO,
+        "The number of sharers of the retry burst changed; 0 if this instance has no share.",
+    )
+    UPSTREAM_ENDED = (6016, logging.WARNING, "An upstream crashed while it had these requests.")
+    END_NOTED = (6017, logging.INFO, "A crash of an upstream during a request was recorded.")
     QUARANTINE_BEGAN = (
         6018,
         logging.ERROR,
-        "Upstreams ended under a request; it is kept from all others unless it is answered.",
+        "Upstreams crashed during a request; it is quarantined unless it is answered.",
+    )
+    QUARANTINE_CLEARED = (
+        6019,
+        logging.INFO,
+        "Crash records of requests were removed, see `reason`.",
+    )
+    QUARANTINE_TRIAL = (
+        6020,
+        logging.WARNING,
+        "A quarantined request may be sent once, as a probe.",
     )
-    QUARANTINE_CLEARED = (6019, logging.INFO, "What was known against a request is forgotten.")
-    QUARANTINE_TRIAL = (6020, logging.WARNING, "A quarantined request may be sent once more.")
-    END_DROPPED = (6021, logging.ERROR, "Too many upstreams' ends wait for the store.")
+    END_DROPPED = (6021, logging.ERROR, "A crash record was dropped: too many wait for the store.")
     REQUEST_REFUSED = (7001, logging.INFO, "A request was refused.")
     HEAD_TOO_SLOW = (7005, logging.INFO, "A connection was closed before its head was complete.")
-    SETTLE_PENDING = (7002, logging.WARNING, "A settlement could not be handed over yet.")
+    SETTLE_PENDING = (7002, logging.WARNING, "A settlement could not be delivered yet.")
     REQUEST_ANSWERED = (7003, logging.INFO, "A request got an upstream's answer.")
-    REQUEST_LEFT = (7004, logging.INFO, "A caller went away before its answer.")
-    INTERNAL_ERROR = (9001, logging.ERROR, "A request hit a fault of this program.")
-    LIBRARY_MESSAGE = (9002, logging.WARNING, "A library has something to say.")
+    REQUEST_LEFT = (7004, logging.INFO, "A caller disconnected before its answer was complete.")
+    INTERNAL_ERROR = (9001, logging.ERROR, "A request failed because of an internal error.")
+    LIBRARY_MESSAGE = (9002, logging.WARNING, "A library logged a message.")
 
     @property
     def number(self) -> int:
-        """The event's number."""
+        """Number that identifies the event in log lines."""
         return int(self.value[0])
 
     @property
     def level(self) -> int:
-        """The event's absl level."""
+        """Level as a constant of absl logging."""
         return int(self.value[1])
 
     @property
     def meaning(self) -> str:
-        """What the event says, for the catalogue."""
+        """Explanation for the catalogue."""
         return str(self.value[2])
 
 
 def emit(event: Event, /, **fields: Any) -> None:
-    """Write one event as a line: number, name, then its fields as JSON."""
+    """Log one event as a line of its number, its name and its fields as JSON."""
     logging.log(
         event.level,
         "MS%d %s %s",
--- a/mothstand/gateway_main.py
+++ b/mothstand/gateway_main.py
@@ -1,8 +1,8 @@
-"""Entry point of a gateway instance, made for a quick start.
+"""Entry point of a gateway instance, optimized for start time.
 
-A fleet that lost power serves nobody until it is up again, on a part of a core each. So nothing is
-imported that an instance does not need: the operators' commands bring libraries that double start
-time and memory. The ``mothstand`` command's ``gateway`` runs the same instance.
+After a power loss the fleet serves no requests until its instances have started, each on a part of
+a core. This module therefore imports only what an instance needs: the libraries of the operators'
+commands double start time and memory. ``mothstand gateway`` runs the same instance.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 def main() -> None:
-    """Run the instance whose settings file the first argument names."""
+    """Run the instance with the settings file given as the first argument."""
     started = ProcessStart(time.monotonic(), listen_early(sys.argv[1]))
     _prepare_imports()
     from .errors import SettingsError
@@ -34,14 +34,14 @@
 
 
 def _prepare_imports() -> None:
-    """Leave out of the imports what costs time and serves nothing.
+    """Disable garbage collection and the loading of certificates during the imports.
 
-    Together a fifth of the start's processor time: 1.26 s before and 0.98 s after, median of five
-    on a busy machine.
+    Together they take a fifth of the start's processor time: 1.26 s with and 0.98 s without them,
+    median of five runs on a busy machine.
     """
-    # Imports make objects that stay; searching them for garbage again and again finds none.
+    # Objects made by imports stay alive; collections during the imports find no garbage.
     gc.disable()
-    # The HTTP library reads the system's certificates when it is imported. No TLS is spoken here.
+    # The HTTP library loads the system's certificates on import; instances do not use TLS.
     os.environ.setdefault("SSL_CERT_FILE", os.devnull)
 
 
--- a/mothstand/histograms.py
+++ b/mothstand/histograms.py
@@ -1,4 +1,4 @@
-"""Latency histograms in microseconds, and their lines at a metrics address."""
+"""Latency histograms in microseconds and their metric lines."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 
 
 def new_histogram() -> HdrHistogram:
-    """Return an empty histogram from a microsecond to ten minutes."""
+    """Return an empty histogram for durations from a microsecond to ten minutes."""
     return HdrHistogram(_LOWEST_US, _HIGHEST_US, _DIGITS)
 
 
 def record_s(histogram: HdrHistogram, seconds: float) -> None:
-    """Record a duration."""
+    """Record a duration, clamped to the histogram's range."""
     histogram.record_value(min(_HIGHEST_US, max(_LOWEST_US, int(seconds * 1e6))))
 
 
 def lines_of(name: str, histogram: HdrHistogram) -> list[str]:
-    """Return a histogram's count and percentiles as lines of name and value."""
+    """Return a histogram's count and percentiles as metric lines."""
     lines = [f"mothstand_{name}_count {histogram.get_total_count()}"]
     lines += [
         f'mothstand_{name}{{percentile="{p:g}"}} {histogram.get_value_at_percentile(p)}'
--- a/mothstand/log/__init__.py
+++ b/mothstand/log/__init__.py
@@ -1,1 +1,1 @@
-"""Clients of what the platform gives: the log and the instance list."""
+"""Clients of the platform's log and instance list."""
--- a/mothstand/log/client.py
+++ b/mothstand/log/client.py
@@ -1,12 +1,12 @@
-"""The platform's append-only log, as an abstract client and over HTTP.
+"""Clients of the platform's append-only log: the interface and its HTTP implementation.
 
 The published protocol:
 
-- ``POST /streams/NAME/records`` with one record as the body; answers ``{"offset": N}``, or 429
+- ``POST /streams/NAME/records`` with one record as the body returns ``{"offset": N}``, or 429
   above the rate limit.
-- ``GET /streams/NAME/records?from=N&wait_s=S`` answers ``{"records": [[offset, text], ...],
+- ``GET /streams/NAME/records?from=N&wait_s=S`` returns ``{"records": [[offset, text], ...],
   "first": N, "next": N}``, after waiting up to S seconds for a record at or past N. ``first`` is
-  the oldest offset that is kept.
+  the oldest retained offset.
 """
 
 from __future__ import annotations
@@ -23,25 +23,25 @@
 
 
 class LogError(Exception):
-    """The log did not answer, or not usefully. An append may have taken effect all the same."""
+    """Raised without a usable answer of the log; an append may still have taken effect."""
 
 
 class LogBusyError(LogError):
-    """The log answered that it takes no more just now: the rate limit of all appends together."""
+    """Raised when the log refuses an append because of its rate limit over all appenders."""
 
 
 @dataclass(frozen=True, slots=True)
 class LogPage:
-    """A stretch of a stream.
+    """Consecutive records of a stream.
 
     Parameters
     ----------
     records
         Offsets and payloads, in order.
     first_offset
-        The oldest kept offset; records before it are trimmed.
+        The oldest retained offset; records before it are trimmed.
     next_offset
-        Where to read on.
+        Offset at which the next read starts.
     """
 
     records: tuple[tuple[int, str], ...]
@@ -50,7 +50,7 @@
 
 
 class LogClient(ABC):
-    """Appends to and reads from the platform's log."""
+    """Interface for appending to and reading from the platform's log."""
 
     @abstractmethod
     async def append(self, stream: str, payload: bytes) -> int:
@@ -59,7 +59,7 @@
         Raises
         ------
         LogError
-            If there was no answer; the record may be in the log or not.
+            If there was no usable answer; the record may or may not be in the log.
         """
 
     @abstractmethod
@@ -69,7 +69,7 @@
         Raises
         ------
         LogError
-            If there was no answer.
+            If there was no usable answer.
         """
 
 
@@ -90,16 +90,16 @@
 
 
 class HttpLog(LogClient):
-    """The log over HTTP.
+    """Client of the log over HTTP.
 
     Parameters
     ----------
     address
         URL of the platform.
     caller
-        Name that the platform knows this process by.
+        Name by which the platform knows this process.
     timeout_s
-        Longest wait for an answer, beyond a read's own `wait_s`.
+        Timeout of a call, in addition to a read's `wait_s`.
     """
 
     def __init__(self, address: str, *, caller: str, timeout_s: float) -> None:
@@ -111,7 +111,7 @@
 
     @classmethod
     def from_settings(cls, settings: InstanceSettings) -> HttpLog:
-        """Return the log of an instance's settings."""
+        """Return a client configured from an instance's settings."""
         return cls(
             settings.platform.address,
             caller=settings.instance.name,
--- a/mothstand/log/codec.py
+++ b/mothstand/log/codec.py
@@ -1,4 +1,4 @@
-"""Log records as JSON: one append carries an array of records of one author."""
+"""JSON encoding of log records; one append holds an array of records of one author."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 
 
 def encode(records: tuple[Record, ...]) -> bytes:
-    """Return records as the payload of one append."""
+    """Encode records as the payload of one append."""
     return _BATCH.dump_json(records)
 
 
 def decode(payload: bytes) -> tuple[Record, ...]:
-    """Return the records of one append.
+    """Decode the records of one append.
 
     Raises
     ------
     ValueError
-        If the payload is not an array of known records. Every reader skips it alike.
+        If the payload is not an array of known records. All readers skip such a payload.
     """
     try:
         return _BATCH.validate_json(payload)
--- a/mothstand/log/health.py
+++ b/mothstand/log/health.py
@@ -1,4 +1,4 @@
-"""Whether the platform's log answers, judged by all reads and appends of a process together."""
+"""Reachability of the platform's log or store, from all calls of a process together."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 if TYPE_CHECKING:
     from ..clock import Clock
 
-#: Seconds of silence after which the log counts as out.
+#: Seconds without an answer after which the log or store counts as unreachable.
 LOG_OUT_AFTER_S = 2.0
 
 
 class LogHealth:
-    """Since when nothing has been heard of the log.
+    """Tracks since when the platform's log or store has not answered.
 
     Notes
     -----
-    One stream cannot tell: a read of a quiet stream waits seconds for a record, and meanwhile
-    says neither that the log is gone nor that it is back. A process that still believes the log
-    to be out refuses requests as out of reach that it could serve.
+    A single stream is not enough: a read of a quiet stream waits seconds for a record, and
+    meanwhile shows neither the start nor the end of an outage. A process that still considers the
+    platform unreachable refuses requests that it could serve.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -29,14 +29,14 @@
         self._told = False
 
     def answered(self) -> None:
-        """Note an answer of the log, whatever it said."""
+        """Record an answer, whatever its content."""
         self._failing_since_s = None
         if self._told:
             self._told = False
             emit(Event.LOG_REACHABLE)
 
     def failed(self, error: Exception) -> None:
-        """Note a call without an answer."""
+        """Record a call that got no answer."""
         if self._failing_since_s is None:
             self._failing_since_s = self._clock.monotonic_s()
         if self.is_out and not self._told:
@@ -44,16 +44,16 @@
             emit(Event.LOG_UNREACHABLE, error=str(error))
 
     def silent_s(self) -> float:
-        """Return the seconds since the first call without an answer; 0 while the log answers."""
+        """Return the seconds since the first unanswered call, or 0 if the latest was answered."""
         since = self._failing_since_s
         return 0.0 if since is None else self._clock.monotonic_s() - since
 
     @property
     def is_failing(self) -> bool:
-        """Whether the latest call had no answer."""
+        """Whether the latest call got no answer."""
         return self._failing_since_s is not None
 
     @property
     def is_out(self) -> bool:
-        """Whether the log has been silent for long."""
+        """Whether calls have failed for at least `UNREACHABLE_AFTER_S`."""
         return self.silent_s() >= LOG_OUT_AFTER_S
--- a/mothstand/log/instances.py
+++ b/mothstand/log/instances.py
@@ -1,7 +1,7 @@
-"""The platform's lagging list of live and leaving instances.
+"""Clients of the platform's instance list, which lags behind starts and stops.
 
-``GET /instances``, with the usual ``ETag`` and ``If-None-Match``, answers an array of objects with
-``name``, ``address``, ``data_centre`` and ``leaving``. Upstreams stand in it too, by their names.
+``GET /instances``, with the usual ``ETag`` and ``If-None-Match``, returns an array of objects with
+``name``, ``address``, ``data_centre`` and ``leaving``. The list also has upstreams, by name.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 
 
 class ListError(Exception):
-    """The list could not be read."""
+    """Raised when the instance list cannot be read."""
 
 
 @dataclass(frozen=True, slots=True)
 class ListedInstance:
-    """One line of the list; `address` is of the peer protocol for instances of the fleet."""
+    """One entry of the list; for instances of the fleet, `address` is of the peer protocol."""
 
     name: str
     address: str
@@ -31,7 +31,7 @@
 
 
 class InstanceList(ABC):
-    """Reads the platform's list."""
+    """Interface for reading the platform's instance list."""
 
     @abstractmethod
     async def read(self) -> tuple[ListedInstance, ...]:
@@ -45,7 +45,7 @@
 
 
 class HttpInstanceList(InstanceList):
-    """The list over HTTP; one that has not changed is not sent again."""
+    """Client of the list over HTTP; an unchanged list is not transferred again."""
 
     def __init__(self, address: str, *, caller: str, timeout_s: float) -> None:
         self._http = httpx.AsyncClient(
--- a/mothstand/log/reader.py
+++ b/mothstand/log/reader.py
@@ -1,4 +1,4 @@
-"""Follows one stream of the log and hands its records on in order."""
+"""Reader that follows one stream of the log and applies its records in order."""
 
 from __future__ import annotations
 
@@ -23,21 +23,21 @@
 
 
 class LogReader:
-    """Reads a stream from its oldest kept record on.
+    """Reads a stream from its oldest retained record on.
 
     Parameters
     ----------
     apply
-        Called with offset and record, once for each record of the stream.
+        Called once for each record, with its offset and the record.
     load
         Called with a snapshot when the records before it have been trimmed; None for a stream
         without snapshots.
 
     Notes
     -----
-    The log keeps records for a limited time. A reader that finds a gap, at its start or after a
-    long cut, waits for the first snapshot that covers it, loads that, and goes on with the records
-    after the snapshot's own offset. Every reader that meets the gap takes the same snapshot.
+    The log retains records for a limited time. A reader that finds a gap, at its start or after a
+    long outage, waits for the first snapshot that covers the gap, loads it, and applies the records
+    after the snapshot's `at_offset`. All readers with the same gap load the same snapshot.
     """
 
     def __init__(
@@ -71,9 +71,9 @@
 
     @property
     def _wait_s(self) -> float:
-        """How long the next read waits for a record: after a failure not at all.
+        """Maximum time that the next read waits for a record; 0 after a failure.
 
-        On a quiet stream a waiting read would say only seconds later that the log is back.
+        On a quiet stream, a waiting read would delay noticing the end of an outage by seconds.
         """
         return READ_WAIT_S if self.caught_up and not self._backoff.tries else 0.0
 
@@ -86,7 +86,7 @@
         for offset, payload in page.records:
             self._apply_payload(offset, payload)
         self.next_offset = max(self.next_offset, page.next_offset)
-        # Before a snapshot has filled the gap, the stream is not known.
+        # Until a snapshot fills the gap, the state of the stream is not known.
         if not page.records and self._gap_before is None:
             self.caught_up = True
 
@@ -96,7 +96,7 @@
         try:
             records = decode(payload.encode())
         except ValueError as error:
-            # Not ours, or damaged: every reader skips it alike, so the folds stay equal.
+            # The record is foreign or damaged. All readers skip it, so the folds stay equal.
             emit(Event.RECORD_SKIPPED, stream=self.stream, offset=offset, error=str(error))
             return
         for record in records:
--- a/mothstand/log/watched.py
+++ b/mothstand/log/watched.py
@@ -1,4 +1,4 @@
-"""A log whose answers and failures are counted towards its health."""
+"""Log client that reports the outcome of each call to a `PlatformHealth`."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class WatchedLog(LogClient):
-    """A log whose answers and failures a `LogHealth` hears of."""
+    """Wraps a log client and reports its answers and failures to a `PlatformHealth`."""
 
     def __init__(self, log: LogClient, health: LogHealth) -> None:
         self._log = log
--- a/mothstand/log/writer.py
+++ b/mothstand/log/writer.py
@@ -1,4 +1,4 @@
-"""One author's appends to one stream: numbered, batched, paced, retried until they are in."""
+"""Writer that numbers, batches, paces and retries one author's appends to one stream."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 _R = TypeVar("_R", bound=Record)
 
-#: Most records in one append; the rest goes with the next.
+#: Maximum number of records in one append; the next append takes the rest.
 MAX_BATCH = 500
 _BACKOFF_FIRST_S = 0.05
 _BACKOFF_MOST_S = 1.0
@@ -27,16 +27,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Pace:
-    """When a writer appends.
+    """Timing of a writer's appends.
 
     Parameters
     ----------
     least_interval_s
-        Least time between two appends.
+        Minimum time between two appends.
     gather_s
-        How long the first record waits for more to share its append.
+        Time that the first record waits for others to share its append.
     full_records
-        As many records do not wait.
+        Number of queued records from which on none waits.
     """
 
     least_interval_s: float
@@ -50,14 +50,14 @@
     Parameters
     ----------
     author
-        The process's incarnation; with the sequence number it makes the record id.
+        The process's incarnation; together with a sequence number it is the record id.
     pace
-        When to append: the author's share of the rate that the log allows for all of us together.
+        Timing of appends: the author's share of the log's rate limit, which is for the whole fleet.
 
     Notes
     -----
     An append whose answer is lost may be in the log. The writer sends the same bytes again until
-    it has an answer, and never a later record before an earlier one, so the folds can drop
+    it gets an answer, and never a later record before an earlier one, so the folds can drop
     duplicates by the author's last sequence number.
     """
 
@@ -79,11 +79,11 @@
 
     @property
     def pending(self) -> int:
-        """Number of records that are not known to be in the log."""
+        """Number of records without a confirmed append."""
         return len(self._queue)
 
     def submit(self, make: Callable[[RecordId], _R]) -> _R:
-        """Queue the record that `make` returns for the next record id, and return it."""
+        """Create a record with the next record id, queue it and return it."""
         self._sequence += 1
         record = make(RecordId(self._author, self._sequence))
         self._queue.append(record)
@@ -93,16 +93,16 @@
         return record
 
     def hurry(self) -> None:
-        """Append at once from now on, as before a stop."""
+        """Append without waiting for more records from now on, as before a stop."""
         self._hurried = True
         self._full.set()
 
     def on_appended(self, callback: Callable[[tuple[_R, ...]], None]) -> None:
-        """Call `callback` with the records of each append that was answered."""
+        """Register a callback that receives the records of each confirmed append."""
         self._appended.append(callback)
 
     async def run(self) -> None:
-        """Append what is queued, until cancelled."""
+        """Append queued records until cancelled."""
         while True:
             await self._wake.wait()
             await self._gather()
@@ -110,7 +110,7 @@
             await self._clock.sleep(self._pace.least_interval_s)
 
     async def flush(self) -> None:
-        """Append what is queued now."""
+        """Append all queued records."""
         while self._queue:
             batch = tuple(self._queue[:MAX_BATCH])
             await self._append(encode(batch))
@@ -122,7 +122,7 @@
             self._full = anyio.Event()
 
     async def _gather(self) -> None:
-        """Let more records come, until there are enough or the first has waited long."""
+        """Wait for more records until the batch is full or `linger_s` has passed."""
         if not self._pace.gather_s:
             return
         async with anyio.create_task_group() as tasks:
--- a/mothstand/platform/headers.py
+++ b/mothstand/platform/headers.py
@@ -1,4 +1,4 @@
-"""Names of headers on the platform, and their translation to typed fields."""
+"""Translation between the platform's HTTP headers and the gateway's typed fields."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 _DEADLINE = "X-Deadline-Milliseconds"
 _KEY = "X-Api-Key"
 _MODEL = "X-Model"
-# Prompt tokens, then the most output tokens.
+# Prompt tokens, then the maximum of output tokens.
 _TOKENS = "X-Token-Counts"
 _PARTS = "X-Prompt-Prefix"
 _LAST_EVENT_ID = "Last-Event-Id"
 _UPSTREAM_ID = "X-Expected-Instance"
 _WORKSPACE = "X-Tenant"
-# 0 is the most urgent.
+# 0 is the highest priority.
 _PRIORITY = "X-Request-Priority"
 _NOT_RUN = "X-Not-Executed"
 _RETRY_AFTER = "Retry-After"
@@ -30,7 +30,7 @@
 _LEAST_URGENT = 9
 _MISDIRECTED = 421
 
-#: Concern one connection only.
+#: Headers that apply to a single connection and are not forwarded.
 _HOP_BY_HOP = frozenset(
     {
         "connection",
@@ -47,8 +47,8 @@
     }
 )
 
-#: Only the fleet may set these: a caller could spend another's tokens, jump queues or take up
-#: memory of upstreams with them.
+#: Headers that only the fleet may set: with them, a caller could spend another workspace's tokens,
+#: jump queues or take up memory of upstreams.
 _RESERVED = frozenset(
     name.lower()
     for name in (
@@ -74,10 +74,10 @@
 
 
 class PlatformHeaders(HeaderTranslator):
-    """The platform's header names."""
+    """Reads and writes headers under the platform's names."""
 
     def read_caller(self, headers: RawHeaders) -> CallerFields:
-        """Return what a caller says."""
+        """Return the fields of a caller's request headers."""
         deadline = _named(headers, _DEADLINE)
         try:
             deadline_s = float(deadline) / 1000 if deadline else None
@@ -93,7 +93,7 @@
         )
 
     def to_upstream(self, headers: RawHeaders, fields: ForwardFields) -> RawHeaders:
-        """Return a caller's headers as an upstream gets them."""
+        """Return a caller's headers as they are forwarded to an upstream."""
         passed = without(headers, _HOP_BY_HOP | _RESERVED | _listed_in_connection(headers))
         passed.append((_UPSTREAM_ID, fields.upstream_id))
         passed.append((_DEADLINE, str(max(1, int(fields.remaining_s * 1000)))))
@@ -105,7 +105,7 @@
         return tuple(passed)
 
     def read_upstream(self, status: int, headers: RawHeaders) -> UpstreamFields:
-        """Return what an upstream says of its answer."""
+        """Return the fields of an upstream's response headers."""
         return UpstreamFields(
             request_id=_named(headers, _REQUEST_ID),
             not_run=bool(_named(headers, _NOT_RUN)),
@@ -114,11 +114,11 @@
         )
 
     def to_caller(self, headers: RawHeaders) -> RawHeaders:
-        """Return an upstream's headers as a caller gets them."""
+        """Return an upstream's headers as they are sent to the caller."""
         return tuple(without(headers, _HOP_BY_HOP | _listed_in_connection(headers)))
 
     def of_refusal(self, request_id: str, retry_after_s: float | None) -> RawHeaders:
-        """Return the headers of an answer of the gateway's own."""
+        """Return the headers of an answer that the gateway itself produces."""
         headers = [("Content-Type", "application/json")]
         if request_id:
             headers.append((_REQUEST_ID, request_id))
@@ -137,6 +137,6 @@
 
 
 def _listed_in_connection(headers: RawHeaders) -> frozenset[str]:
-    """Return the headers that a sender declares to be of its connection only."""
+    """Return the headers that ``Connection`` lists as specific to the connection."""
     names = _named(headers, "Connection").lower().split(",")
     return frozenset(name.strip() for name in names if name.strip())
--- a/mothstand/platform/parts.py
+++ b/mothstand/platform/parts.py
@@ -1,4 +1,4 @@
-"""The users' platform, put together for an instance."""
+"""Factory of the platform's parts that a gateway instance uses."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def platform_parts(settings: GatewaySettings) -> PlatformParts:
-    """Return the parts of the platform that an instance's settings name."""
+    """Return the platform's parts for an instance's settings."""
     return PlatformParts(
         store=HttpStore(settings.store),
         headers=PlatformHeaders(),
--- a/mothstand/platform/records.py
+++ b/mothstand/platform/records.py
@@ -1,4 +1,4 @@
-"""Records that operators and upstreams write to the store, decoded into the fleet's own types."""
+"""Decoders of the records that operators and upstreams write to the store."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
 from ..gateway.store import Stream
 from ..types import DataCentre
 
-#: Where operators write the configuration, and under which key.
+#: Stream and key of the operators' configuration.
 CONFIG_STREAM = Stream("keyed.op")
 CONFIG_KEY = "config"
 
-#: Where upstreams register themselves, each under its own id.
+#: Stream in which upstreams register themselves, each under its own id.
 UPSTREAMS_STREAM = Stream("keyed.servers")
 
 _DRAINING = "draining"
 
-#: What an upstream's id may look like. It is sent on as a header's value, where a line break or a
-#: byte outside of ASCII would make the request unreadable.
+#: Valid ids of upstreams. An id is sent as a header's value, where a line break or a byte outside
+#: of ASCII would make the request unreadable.
 _UPSTREAM_ID = re.compile(r"[!-~]{1,200}")
 
 
@@ -45,10 +45,10 @@
     path_prefix: str
     kind: RequestKind
     timeout_ms: float
-    # The objective for full credit, not a bound.
+    # The latency objective for full credit, not a limit.
     goal_ms: float = 0
     priority: int = 5
-    # One of the two is there; `split` has a share for each service.
+    # Exactly one of the two is set; `split` has a weight for each service.
     service: str = ""
     split: list[_Destination] = Field(default_factory=list)
     attempts: int = 1
@@ -72,7 +72,7 @@
     name: str
     keys: list[str] = Field(default_factory=list)
     priority: int | None = None
-    # A running total in tokens, not what is left.
+    # Running total of the tokens paid for, not the remainder.
     prepaid: int | None = None
 
 
@@ -92,7 +92,7 @@
 
 
 class _Server(BaseModel):
-    """An upstream's registration; others may write here, so nothing is converted or guessed."""
+    """An upstream's registration; strict, since other writers may use the same stream."""
 
     model_config = ConfigDict(strict=True)
 
@@ -102,15 +102,15 @@
     version: str
     slots: int = Field(gt=0)
     state: Literal["ready", "draining"]
-    # Counts heartbeats, from the start of the process on.
+    # Number of heartbeats since the process started.
     sequence: int
     cold_remaining_ms: float
-    # Unix time of the start. Not every upstream tells it, but what it tells is a whole number.
+    # Unix time of the start in milliseconds, a whole number; some upstreams omit it.
     born: int = Field(0, ge=0)
 
 
 def decode_config(data: bytes) -> GatewayConfig:
-    """Return the operators' configuration.
+    """Decode the operators' configuration.
 
     Raises
     ------
@@ -163,7 +163,7 @@
 
 
 def decode_upstream(upstream_id: str, data: bytes) -> RegisteredUpstream:
-    """Return an upstream's registration.
+    """Decode an upstream's registration.
 
     Raises
     ------
@@ -188,6 +188,6 @@
 
 
 def _faults(error: ValidationError) -> str:
-    """Return the first faults, each with the field and what is wrong, without all of the input."""
+    """Return the first three errors, each with its field, without the input."""
     faults = error.errors(include_url=False, include_input=False, include_context=False)[:3]
     return "; ".join(f"{'.'.join(map(str, f['loc']))}: {f['msg']}" for f in faults)
--- a/mothstand/platform/store.py
+++ b/mothstand/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's store over HTTP; the only place that calls it."""
+"""HTTP client of the platform's store; all calls to the store go through it."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 _GONE = 410
 _OK = 200
 
-#: The key of a record that has none; no stream has a use for it.
+#: Key given to a record without one; no stream uses it.
 _NO_KEY = ""
 
 _LENGTH = struct.Struct(">I")
@@ -38,7 +38,7 @@
 
 
 class _Item(BaseModel):
-    """One key of a listing; `value` is in base64, absent for a dropped key."""
+    """One key of a listing; `value` is in base64, absent for a deleted key."""
 
     key: str
     value: str | None = None
@@ -46,7 +46,7 @@
 
 
 class _Listing(BaseModel):
-    """One page of the newest records; `end` is the stream's end when the page was made."""
+    """One page of the newest records; `end` is the stream's end offset when the page was made."""
 
     items: list[_Item] = Field(default_factory=list)
     has_more: bool = False
@@ -54,19 +54,19 @@
 
 
 def encode_record(record: KeyedRecord) -> bytes:
-    """Return a keyed record in the store's binary form."""
+    """Encode a keyed record in the store's binary format."""
     key = record.key.encode()
     content = bytes([len(key)]) + key + (record.value or b"")
     return _LENGTH.pack(len(content)) + content
 
 
 def decode_page(data: bytes, from_offset: int) -> StreamPage:
-    """Return the records of a read's answer.
+    """Decode the response to a read.
 
     Raises
     ------
     ValueError
-        If the answer is cut off.
+        If the response is truncated.
     """
     if len(data) < _PAGE_HEAD.size:
         raise ValueError(f"a page of {len(data)} bytes has no head")
@@ -85,10 +85,10 @@
 
 
 def _decode_record(content: bytes, offset: int) -> KeyedRecord:
-    """Return a record, whatever another writer has put there.
+    """Decode a record, also a malformed one of another writer.
 
-    One without a key, or shorter than its key, must not end the reading of all others for good: it
-    becomes a record that nobody knows.
+    A record without a key, or shorter than its key, must not stop the reader at this offset
+    forever: it is returned under a key that no stream uses.
     """
     if not content or len(content) < 1 + content[0]:
         return KeyedRecord(_NO_KEY, content, offset)
@@ -98,13 +98,13 @@
 
 
 class HttpStore(Store):
-    """The store over HTTP.
+    """Client of the store over HTTP.
 
     Notes
     -----
-    A connection on which an answer was lost returns nothing further, so a call that times out
-    closes its connection, and the idle ones: what silenced one has silenced them too. Each would
-    cost the next call another timeout, while a new connection tells at once that the store is back.
+    A connection that lost a response returns nothing further. A call that times out therefore
+    closes its connection and the idle ones, since the same fault has broken those too. Each would
+    cost the next call another timeout, while a new connection works as soon as the store is back.
     """
 
     def __init__(self, settings: StoreSection) -> None:
@@ -119,7 +119,7 @@
     async def append(
         self, stream: Stream, records: tuple[KeyedRecord, ...], *, at_offset: int | None = None
     ) -> None:
-        """Append all records or none; with an offset, only if the stream ends there."""
+        """Append all records or none; with `at_offset`, only if the stream ends there."""
         params: _Query = {"topic": stream.topic, "part": stream.partition}
         if at_offset is not None:
             params["at"] = at_offset
@@ -130,7 +130,7 @@
         _check(status, "append")
 
     async def read(self, stream: Stream, from_offset: int, *, wait_s: float = 0.0) -> StreamPage:
-        """Return records from an offset on, waiting for the first one."""
+        """Return records from an offset on, waiting up to `wait_s` for the first."""
         params: _Query = {
             "topic": stream.topic,
             "part": stream.partition,
@@ -148,7 +148,7 @@
             raise StoreSilentError(f"{stream}: {error}") from error
 
     async def newest(self, stream: Stream) -> StreamPage:
-        """Return the newest record of each key, and the end from before the listing began."""
+        """Return the newest record of each key, and the stream's end before the listing began."""
         params: _Query = {"topic": stream.topic, "part": stream.partition}
         records: list[KeyedRecord] = []
         end: int | None = None
@@ -160,7 +160,7 @@
                 records += [_record(item) for item in page.items]
             except (ValidationError, ValueError) as error:
                 raise StoreSilentError(f"{stream}: {error}") from error
-            # Pages are no snapshot: what changes meanwhile is read again from the first end on.
+            # Pages are not a snapshot: later changes are read again from the first page's end on.
             end = page.end if end is None else end
             if not page.has_more or not page.items:
                 return StreamPage(tuple(records), end)
@@ -179,8 +179,8 @@
         body: bytes | None = None,
         wait_s: float = 0.0,
     ) -> tuple[int, bytes]:
-        # Time without a byte, not for the whole answer: on a link of 5 Mbit/s a page of a large
-        # configuration takes longer than a silent store may be waited for.
+        # `sock_read` limits the time between bytes, not that of the whole response: on a link of
+        # 5 Mbit/s a page of a large configuration takes longer than the timeout.
         timeout = aiohttp.ClientTimeout(
             total=None,
             connect=self._settings.timeout_s,
@@ -193,7 +193,7 @@
             ) as response:
                 return response.status, await response.read()
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
-            # Nothing was sent. What is idle now has come about since, and is the next call's.
+            # Nothing was sent. Connections that are idle now are newer; the next call may use them.
             raise StoreError(f"{path}: {error!r}") from error
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
             close_idle(self._connector, self._settings.address)
@@ -206,12 +206,12 @@
     try:
         value = base64.b64decode(item.value)
     except ValueError:
-        # The reader of the stream tells of a value that it cannot read.
+        # The reader of the stream reports a value that it cannot decode.
         value = item.value.encode()
     return KeyedRecord(item.key, value, item.offset)
 
 
 def _check(status: int, what: str) -> None:
-    """Raise unless a call was done; the store says with any other status that it was not."""
+    """Raise unless the status is 200; any other means that the call had no effect."""
     if status != _OK:
         raise StoreError(f"{what}: status {status}")
--- a/mothstand/process_start.py
+++ b/mothstand/process_start.py
@@ -1,6 +1,6 @@
-"""What an instance does before its imports: it takes the time, and listens to callers.
+"""First steps of a process, before its other imports: note the time and listen to callers.
 
-Nothing but the standard library is imported here; the rest of the start takes most of a second.
+Only the standard library is imported here; the other imports take most of a second.
 """
 
 from __future__ import annotations
@@ -9,20 +9,20 @@
 import socket
 from dataclasses import dataclass
 
-#: Connections that wait until they are accepted: several seconds of a large zone's callers.
+#: Maximum number of unaccepted connections: several seconds of a large zone's callers.
 BACKLOG = 512
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessStart:
-    """The beginning of a process.
+    """Start time and early socket of a process.
 
     Parameters
     ----------
     started_s
-        On the monotonic clock.
+        Start time on the monotonic clock.
     callers
-        The socket that callers connect to; None if it is still to be opened.
+        The listening socket for callers; None if it is not open yet.
     """
 
     started_s: float
@@ -30,11 +30,11 @@
 
 
 def listen_early(path: str) -> socket.socket | None:
-    """Open the socket for callers that a settings file names, or return None.
+    """Open the socket for callers from a settings file; return None if that fails.
 
-    Without it callers are turned away for as long as the imports take, 0.7 s on a part of a core.
-    After the death of all instances their one retry is turned away as well, and they give up; on
-    an open socket they wait for that time and are served.
+    Without this socket, connections are refused during the imports, 0.7 s on a fraction of a core.
+    If all instances have crashed, the callers' only retry is refused too and they give up. With the
+    socket open, connections wait for that time and are served.
     """
     parser = configparser.ConfigParser(interpolation=None)
     try:
@@ -42,7 +42,7 @@
         host, _, port = parser["listen"]["callers"].rpartition(":")
         address = (host, int(port))
     except (ValueError, KeyError, configparser.Error):
-        # Whoever reads the settings in full tells what is wrong.
+        # The error is reported when all settings are read.
         return None
     listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
@@ -50,7 +50,7 @@
         listener.bind(address)
         listener.listen(BACKLOG)
     except OSError:
-        # Whoever listens later tells what is wrong.
+        # The error is reported when the server opens the socket.
         listener.close()
         return None
     listener.setblocking(False)
--- a/mothstand/settings/folder.py
+++ b/mothstand/settings/folder.py
@@ -1,4 +1,4 @@
-"""The operators' folder: INI files merged in the order of their names, validated whole."""
+"""Reader of the operators' folder: merges its INI files by name order and validates the result."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 class PolicySection(SectionModel):
-    """``[policy]``: the deployment's weightings."""
+    """``[policy]``: parameters of the whole deployment."""
 
     ride_through_s: float = Field(
         4500.0, gt=0, description="seconds of demand that a grant should cover, above 0"
@@ -53,7 +53,7 @@
     default_max_tokens: int = Field(512, gt=0, description="tokens above 0")
     answer_kept_s: float = Field(600.0, ge=0, description="seconds, 0 or more")
     weight_loads: int = Field(
-        1, gt=0, description="how many engines of a data centre may load weights at once, above 0"
+        1, gt=0, description="engines of a data centre that may load weights at once, above 0"
     )
 
 
@@ -61,7 +61,7 @@
     """``[workspace NAME]``."""
 
     priority: int = Field(0, description="a whole number; higher goes first")
-    models: Words = Field((), description="names of models, apart by spaces; empty allows all")
+    models: Words = Field((), description="names of models, separated by spaces; empty allows all")
 
 
 class KeySection(SectionModel):
@@ -79,13 +79,13 @@
     """``[budget NAME]``."""
 
     workspace: str = Field(description="the name of a [workspace NAME] section")
-    paid_tokens: int = Field(ge=0, description="all tokens ever paid for, a running total")
+    paid_tokens: int = Field(ge=0, description="running total of all tokens ever paid for")
 
 
 class ServiceSection(SectionModel):
     """``[service NAME]``."""
 
-    tokens_per_call: int = Field(ge=0, description="what one call costs, in tokens")
+    tokens_per_call: int = Field(ge=0, description="cost of one call in tokens")
     idempotent: bool = Field(description="yes if a call may be repeated, else no")
 
 
@@ -93,7 +93,7 @@
     """``[model NAME]``: a model or adapter that engines are ordered to load."""
 
     version: str = Field(pattern=r"^[A-Za-z0-9._-]+$", description="the version to load")
-    base: str = Field("", description="for an adapter the name of its [model NAME], else nothing")
+    base: str = Field("", description="for an adapter, the name of its [model NAME]; else empty")
 
 
 class UpstreamSection(SectionModel):
@@ -102,18 +102,18 @@
     kind: UpstreamKind = Field(description="engine or service")
     address: str = Field(pattern=r"^[0-9.]+:[0-9]+$", description="IP:PORT")
     data_centre: str = Field(description="the name of its data centre")
-    serves: Words = Field(min_length=1, description="models (engine) or the service's name")
-    slots: int = Field(8, gt=0, description="how many requests it runs at once, above 0")
+    serves: Words = Field(min_length=1, description="names of models (engine) or of the service")
+    slots: int = Field(8, gt=0, description="number of requests that it runs at once, above 0")
     resumes: bool = Field(
-        False, description="yes if it goes on with an answer that another engine began, else no"
+        False, description="yes if it can continue an answer that another engine began, else no"
     )
     orders: OrderCheck = Field(
         OrderCheck.NONE,
-        description="none if the fleet does not say what it loads, fenced if it refuses orders"
-        " with an old fencing number, unfenced if it takes any",
+        description="none if the fleet does not choose its models, fenced if it refuses orders with"
+        " an old fencing number, unfenced if it accepts any",
     )
     role: Literal["mixed", "prefill", "decode"] = Field(
-        "mixed", description="mixed, prefill or decode; for engines that take orders"
+        "mixed", description="mixed, prefill or decode; for engines that accept orders"
     )
 
 
@@ -136,14 +136,14 @@
 
 
 def read_folder(folder: Path) -> Sections:
-    """Return the merged sections of the folder's ``*.ini`` files.
+    """Read and validate the folder's ``*.ini`` files and return their merged sections.
 
     A later file's keys replace an earlier one's, section by section.
 
     Raises
     ------
     SettingsError
-        If the folder holds no INI file, or one that cannot be read or is not valid.
+        If the folder holds no INI file, or if one cannot be read or is invalid.
     """
     files = sorted(folder.glob("*.ini"))
     if not files:
@@ -159,12 +159,12 @@
 
 
 def validate_sections(sections: Sections, *, source: dict[str, str] | None = None) -> FleetConfig:
-    """Return the sections as a validated configuration.
+    """Validate sections and return them as a configuration.
 
     Parameters
     ----------
     source
-        File of each section, for the errors.
+        File name of each section, for error messages.
 
     Raises
     ------
@@ -195,7 +195,7 @@
 
 
 def _build(models: dict[str, dict[str, SectionModel]]) -> FleetConfig:
-    # model_dump of a validated model gives just the keyword arguments of its data class.
+    # `model_dump` of a section returns exactly the keyword arguments of its data class.
     policy = models["policy"].get("", PolicySection.model_validate({})).model_dump()
     escrow = {name: policy.pop(name) for name in EscrowPolicy.__dataclass_fields__}
     keys = {
@@ -278,5 +278,5 @@
 
 
 def data_centres(config: FleetConfig) -> set[DataCentre]:
-    """Return the data centres that the configuration names."""
+    """Return the data centres of all configured upstreams."""
     return {DataCentre(upstream.data_centre) for upstream in config.upstreams.values()}
--- a/mothstand/settings/gateway.py
+++ b/mothstand/settings/gateway.py
@@ -1,4 +1,4 @@
-"""The settings file of one gateway instance."""
+"""Models and reader of a gateway instance's settings file."""
 
 from __future__ import annotations
 
@@ -17,28 +17,28 @@
 
 
 class GatewayInstanceSection(SectionModel):
-    """``[instance]``: who the process is."""
+    """``[instance]``: identity and machine of the process."""
 
     name: str = Field(min_length=1, description="the instance's name")
     data_centre: str = Field(min_length=1, description="the name of its data centre")
     core_share: float = Field(
-        1.0, gt=0, description="part of a core that the process gets, above 0; see core_speed"
+        1.0, gt=0, description="fraction of a core that the process gets, above 0; see core_speed"
     )
     core_speed: float = Field(
-        1.0, gt=0, description="how fast that core is, beside a usual one, above 0"
+        1.0, gt=0, description="speed of that core relative to a usual one, above 0"
     )
     link_mbit_per_s: float = Field(
-        0.0, ge=0, description="of the machine's own link; 0 for not known"
+        0.0, ge=0, description="bandwidth of the machine's own link; 0 if unknown"
     )
 
 
 class GatewayListenSection(SectionModel):
-    """``[listen]``: the process's addresses."""
+    """``[listen]``: addresses on which the process listens."""
 
     callers: str = Field(pattern=_ADDRESS, description="IP:PORT for callers")
     ready: str = Field(pattern=_ADDRESS, description="IP:PORT of the readiness check")
     peers: str = Field(pattern=_ADDRESS, description="IP:PORT for other instances")
-    metrics: str = Field(pattern=_ADDRESS, description="IP:PORT of metrics")
+    metrics: str = Field(pattern=_ADDRESS, description="IP:PORT of the metrics")
 
 
 class StoreSection(SectionModel):
@@ -46,12 +46,12 @@
 
     address: str = Field(pattern=_ADDRESS, description="IP:PORT of the store")
     timeout_s: float = Field(
-        1.0, gt=0, description="seconds that a call may take, above 0; three times a slow answer"
+        1.0, gt=0, description="timeout of a call in seconds, above 0; three times a slow call's"
     )
     connect_timeout_s: float = Field(
         0.3,
         gt=0,
-        description="seconds until it takes a connection, above 0; a hundred times the usual",
+        description="connect timeout in seconds, above 0; a hundred times the usual",
     )
     claim_shards: int = Field(
         1, gt=0, le=100, description="partitions of the claims, the same in the whole fleet"
@@ -59,17 +59,17 @@
 
 
 class SeedsSection(SectionModel):
-    """``[seeds]``: whom to ask when the store is out at start."""
+    """``[seeds]``: instances to ask if the store is unreachable at start."""
 
-    peers: Words = Field((), description="IP:PORT of other instances' peer protocol, or nothing")
+    peers: Words = Field((), description="IP:PORT of other instances' peer protocol, or empty")
 
 
 class RetriesSection(SectionModel):
-    """``[retries]``: the retries that the whole fleet may send to a service."""
+    """``[retries]``: limits on the retries that the whole fleet sends to a service."""
 
-    ratio: float = Field(0.2, ge=0, description="retries for each request, 0 or more")
-    burst: float = Field(50.0, ge=0, description="retries in a window on top, 0 or more")
-    window_s: float = Field(10.0, gt=0, description="seconds above 0")
+    ratio: float = Field(0.2, ge=0, description="retries allowed per request, 0 or more")
+    burst: float = Field(50.0, ge=0, description="additional retries in a window, 0 or more")
+    window_s: float = Field(10.0, gt=0, description="length of the window in seconds, above 0")
 
 
 class GatewayTimingSection(SectionModel):
@@ -80,22 +80,22 @@
         0.8, gt=0, description="seconds without an acknowledgement by an upstream, above 0"
     )
     connect_timeout_s: float = Field(
-        0.2, gt=0, description="seconds until an upstream takes a connection, above 0"
+        0.2, gt=0, description="connect timeout of upstreams in seconds, above 0"
     )
     registrations_s: float = Field(
         1.0,
         gt=0,
         le=1.5,
-        description="seconds that a read of the upstreams waits for news, above 0, at most 1.5",
+        description="seconds that a read of registrations waits for changes, above 0, at most 1.5",
     )
     claims_s: float = Field(
-        0.35, gt=0, le=1.0, description="seconds between two looks at claims, above 0, at most 1"
+        0.35, gt=0, le=1.0, description="poll interval of claims in seconds, above 0, at most 1"
     )
 
 
 @dataclass(frozen=True, slots=True)
 class GatewaySettings:
-    """Everything one gateway instance is told at start."""
+    """Settings of one gateway instance."""
 
     instance: GatewayInstanceSection
     listen: GatewayListenSection
@@ -121,7 +121,7 @@
 
 
 def read_gateway_settings(path: Path) -> GatewaySettings:
-    """Return the settings of a gateway instance.
+    """Read and validate the settings of a gateway instance.
 
     Raises
     ------
--- a/mothstand/settings/ini.py
+++ b/mothstand/settings/ini.py
@@ -1,4 +1,4 @@
-"""Reading INI files into sections, with errors that name file, section and key."""
+"""Reader of INI files into validated sections; errors name the file, section and key."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
     return tuple(value.replace(",", " ").split()) if isinstance(value, str) else value
 
 
-#: Words apart by spaces or commas.
+#: Tuple of words, written with spaces or commas between them.
 Words = Annotated[tuple[str, ...], BeforeValidator(_words)]
 
 
 class SectionModel(BaseModel):
-    """Base of the models of sections: unknown keys are errors."""
+    """Base of all section models; unknown keys are errors."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
@@ -31,7 +31,7 @@
 
 
 def read_file(path: Path) -> dict[str, dict[str, str]]:
-    """Return the sections of one INI file.
+    """Read one INI file and return its sections.
 
     Raises
     ------
@@ -49,7 +49,7 @@
 def read_section(
     model: type[_Model], values: dict[str, str], *, section: str, source: str
 ) -> _Model:
-    """Return a section's values as its validated model.
+    """Validate a section's values and return them as its model.
 
     Raises
     ------
@@ -79,7 +79,7 @@
 
 
 def read_sections(path: Path, models: dict[str, type[SectionModel]]) -> dict[str, SectionModel]:
-    """Return the sections of a settings file, each as its validated model.
+    """Read a settings file and return each section as its validated model.
 
     Raises
     ------
--- a/mothstand/settings/instance.py
+++ b/mothstand/settings/instance.py
@@ -1,4 +1,4 @@
-"""The settings file of one instance."""
+"""Models and reader of an instance's settings file."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 
 class InstanceSection(SectionModel):
-    """``[instance]``: who the process is."""
+    """``[instance]``: identity of the process."""
 
-    name: str = Field(pattern=r"^[a-z0-9][a-z0-9._-]*$", description="a name of a-z 0-9 . _ -")
+    name: str = Field(pattern=r"^[a-z0-9][a-z0-9._-]*$", description="a name made of a-z 0-9 . _ -")
     data_centre: str = Field(min_length=1, description="the name of its data centre")
     ledger_shards: int = Field(
         2, gt=0, le=4096, description="the fleet's number of ledger shards, the same everywhere"
@@ -25,33 +25,33 @@
 
 
 class ListenSection(SectionModel):
-    """``[listen]``: the process's addresses."""
+    """``[listen]``: addresses on which the process listens."""
 
     callers: str = Field(pattern=r"^[0-9.]+:[0-9]+$", description="IP:PORT for callers")
     peers: str = Field(pattern=r"^[0-9.]+:[0-9]+$", description="IP:PORT for peers")
 
 
 class PlatformSection(SectionModel):
-    """``[platform]``: where the platform's services are."""
+    """``[platform]``: address of the platform's services."""
 
     address: str = Field(pattern=r"^https?://", description="the URL of the platform's log")
 
 
 class SecretsSection(SectionModel):
-    """``[secrets]``: what peers and operators prove themselves with."""
+    """``[secrets]``: keys that authenticate peers and operators."""
 
     fleet_key: str = Field(
         min_length=16, description="at least 16 characters, the same in the whole fleet"
     )
     previous_fleet_key: str = Field(
-        "", description="the key before, accepted while keys are rotated; empty for none"
+        "", description="the previous key, accepted while keys are rotated; empty for none"
     )
 
 
 class PeersSection(SectionModel):
-    """``[peers]``: whom to ask when the platform is out at start."""
+    """``[peers]``: instances to ask if the platform is unreachable at start."""
 
-    seeds: Words = Field((), description="IP:PORT of other instances' peer protocol, or nothing")
+    seeds: Words = Field((), description="IP:PORT of other instances' peer protocol, or empty")
 
 
 class TimingSection(SectionModel):
@@ -61,26 +61,28 @@
         0.4, gt=0, description="seconds between two heartbeats to a partner, above 0"
     )
     probes_per_s: float = Field(
-        2.0, gt=0, description="heartbeats a second to all other peers together, above 0"
+        2.0, gt=0, description="heartbeats per second to all other peers together, above 0"
     )
-    suspect_after_s: float = Field(1.0, gt=0, description="seconds of silence, above 0")
-    ledger_append_s: float = Field(0.2, gt=0, description="least seconds between ledger appends")
+    suspect_after_s: float = Field(1.0, gt=0, description="seconds without an answer, above 0")
+    ledger_append_s: float = Field(0.2, gt=0, description="minimum seconds between ledger appends")
     bills_append_s: float = Field(
-        120.0, gt=0, description="seconds that a bill waits for more to share its append, above 0"
+        120.0, gt=0, description="seconds that a bill waits for others to share its append, above 0"
+    )
+    bills_append_lines: int = Field(
+        500, gt=0, description="bills that are appended without waiting, above 0"
     )
-    bills_append_lines: int = Field(500, gt=0, description="bills that do not wait, above 0")
     mirror_timeout_s: float = Field(0.3, gt=0, description="seconds above 0")
     grant_wait_s: float = Field(1.5, gt=0, description="seconds above 0")
     log_timeout_s: float = Field(1.0, gt=0, description="seconds above 0")
     connect_timeout_s: float = Field(1.0, gt=0, description="seconds above 0")
     upstream_idle_s: float = Field(30.0, gt=0, description="seconds between two bytes, above 0")
     orders_look_s: float = Field(
-        2.0, gt=0, description="seconds between two looks at engines that take orders, above 0"
+        2.0, gt=0, description="poll interval of engines that accept orders, in seconds, above 0"
     )
     lame_duck_s: float = Field(
-        1.0, ge=0, description="seconds a stopping instance still takes requests, 0 or more"
+        1.0, ge=0, description="seconds that a stopping instance still accepts requests, 0 or more"
     )
-    drain_s: float = Field(60.0, ge=0, description="seconds given to running requests at a stop")
+    drain_s: float = Field(60.0, ge=0, description="seconds that running requests get at a stop")
 
 
 @dataclass(frozen=True, slots=True)
@@ -92,7 +94,7 @@
 
     @classmethod
     def parse(cls, text: str) -> Address:
-        """Return ``IP:PORT`` as an address."""
+        """Parse ``IP:PORT``."""
         host, _, port = text.rpartition(":")
         return cls(host, int(port))
 
@@ -102,7 +104,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InstanceSettings:
-    """Everything one instance is told at start."""
+    """Settings of one instance."""
 
     instance: InstanceSection
     listen: ListenSection
@@ -128,7 +130,7 @@
 
 
 def read_instance_settings(path: Path) -> InstanceSettings:
-    """Return the settings of an instance.
+    """Read and validate the settings of an instance.
 
     Raises
     ------
--- a/mothstand/settings/operator.py
+++ b/mothstand/settings/operator.py
@@ -1,4 +1,4 @@
-"""The settings file of the operators' commands."""
+"""Models and reader of the settings file of the operators' commands."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class OperatorSection(SectionModel):
-    """``[operator]``: who publishes, for the audit trail."""
+    """``[operator]``: identity of the operator, for the audit trail."""
 
     name: str = Field(min_length=1, description="the operator's name")
     ledger_shards: int = Field(
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorSettings:
-    """Everything an operator's command is told."""
+    """Settings of an operator's command."""
 
     operator: OperatorSection
     platform: PlatformSection
@@ -34,7 +34,7 @@
 
 
 def read_operator_settings(path: Path) -> OperatorSettings:
-    """Return the settings of an operator's command.
+    """Read and validate the settings of an operator's command.
 
     Raises
     ------
--- a/mothstand/tests/test_docs.py
+++ b/mothstand/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""Docs that must agree with the code, and rules of the layout."""
+"""Tests that docs agree with the code and that modules keep the layout rules."""
 
 from __future__ import annotations
 
@@ -51,10 +51,9 @@
                 assert row.retry_after_s is None, kind
 
     def test_every_event_and_kind_is_used(self) -> None:
-        """Symptom: operators wait for an event of the catalogue that never comes.
+        """Guards against events and error kinds that are in the catalogue but never sent.
 
-        Sequence: an event or an error kind is declared and nothing sends it.
-        Cause it guards against: tables that promise more than the code does.
+        Operators would wait for such an event in vain.
         """
         sources = "".join(
             path.read_text(encoding="utf-8")
@@ -73,10 +72,9 @@
 class TestLayout:
     @pytest.mark.parametrize("path", sorted(CORE.glob("*.py")), ids=lambda path: path.name)
     def test_core_has_no_io(self, path: Path) -> None:
-        """Symptom: a decision depends on the machine's clock or on a socket.
+        """Guards against decisions that depend on the machine's clock or on a socket.
 
-        Sequence: a module of the core imports one that does input or output.
-        Cause it guards against: decisions that tests cannot drive.
+        Tests cannot control such decisions, so modules of the core must not import I/O modules.
         """
         tree = ast.parse(path.read_text(encoding="utf-8"))
         imported = {
--- a/mothstand/tests/test_platform.py
+++ b/mothstand/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""Writing to and reading from the log."""
+"""Tests of writing to and reading from the log."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def bill(request_id: str) -> Callable[[RecordId], BillsPosted]:
-    """Return the maker of a record with one bill."""
+    """Return a function that makes a record with one bill."""
     line = BillLine(request_id, BudgetName("lund"), 5)
     return lambda record_id: BillsPosted(record_id, (line,))
 
@@ -37,25 +37,25 @@
 
 
 class BusyLog(FakeLog):
-    """A log that is above its rate limit."""
+    """Log that refuses appends because of its rate limit."""
 
     async def append(self, stream: str, payload: bytes) -> int:
-        """Refuse."""
+        """Raise `LogBusyError`."""
         raise LogBusyError("too many")
 
 
 async def settle() -> None:
-    """Let all tasks run until they wait."""
+    """Run all tasks until they wait."""
     for _ in range(20):
         await anyio.lowlevel.checkpoint()
 
 
 class TestWriter:
     def test_lost_answer_keeps_order_and_ids(self) -> None:
-        """Symptom: a record stands in the log twice under two ids, or after a later one.
+        """Guards against a record that is in the log under two ids, or after a later one.
 
-        Sequence: an append takes effect and its answer is lost; more records are queued.
-        Cause it guards against: a new id for the second try; sending the next record first.
+        An append takes effect, its answer is lost, and more records are queued. The retry must
+        use the same id and precede the next record.
         """
 
         async def run() -> None:
@@ -138,10 +138,10 @@
 
 class TestHealth:
     def test_end_of_an_outage_is_noticed_on_a_quiet_stream(self) -> None:
-        """Symptom: requests are refused, "the platform is out", for seconds after it came back.
+        """Guards against refusing requests for seconds after the end of an outage of the platform.
 
-        Sequence: the log is down, then up; nobody appends to the stream that is read.
-        Cause: the first read after the outage waited for a record, and only its answer told.
+        The log is down, then up, and nothing is appended to the stream that is read. The first
+        read after the outage waited for a record, so its answer was the first sign of recovery.
         """
 
         async def run() -> None:
@@ -157,7 +157,7 @@
                     await settle()
                 assert health.is_out
                 log.down = False
-                # The longest pause between two tries, and no waiting read.
+                # Enough for the longest retry delay, but not for a waiting read.
                 for _ in range(15):
                     clock.advance(0.1)
                     await settle()
@@ -167,10 +167,10 @@
         anyio.run(run)
 
     def test_another_call_tells(self) -> None:
-        """Symptom: a witness promotes itself, or a request is refused, while the log answers.
+        """Guards against promoting a witness or refusing a request while the log answers.
 
-        Sequence: a read fails, an append is answered.
-        Cause it guards against: one stream's reader speaking for the log.
+        A read fails and an append is answered: a failure of one stream must not decide alone
+        whether the log is reachable.
         """
 
         async def run() -> None:
--- a/mothstand/tests/test_users_platform.py
+++ b/mothstand/tests/test_users_platform.py
@@ -1,4 +1,4 @@
-"""Translation between the users' platform and the fleet's own types."""
+"""Tests of the translation between the users' platform and the fleet's types."""
 
 from __future__ import annotations
 
@@ -135,11 +135,10 @@
         ],
     )
     def test_one_of_another_writer_is_refused(self, field: str, value: object) -> None:
-        """Symptom: requests go to an address that no upstream has.
+        """Guards against sending requests to an address that no upstream has.
 
-        Sequence: something else writes an entry beside the upstreams' own, with a state that no
-        upstream has or a number as text. Cause: any state but one counted as ready, and values
-        were converted.
+        Another writer adds an entry with an unknown state or a number as text; it was accepted,
+        since any state except draining counted as ready and values were converted.
         """
         data = json.dumps({**_REGISTRATION, field: value}).encode()
         with pytest.raises(ValueError, match=field):
@@ -166,10 +165,10 @@
 
     @pytest.mark.parametrize("content", [b"", b"\x05k", b"\x01\xff\xff"])
     def test_a_record_that_cannot_be_read_does_not_end_the_page(self, content: bytes) -> None:
-        """Symptom: an instance never learns of upstreams that come or leave.
+        """Guards against an instance that misses all later changes of upstreams.
 
-        Sequence: something else writes an empty record, or one shorter than its key. Cause: the
-        page was taken for cut off, each time that it was read.
+        Another writer adds an empty record, or one shorter than its key; each read of the page
+        then failed as truncated.
         """
         strange = struct.pack(">I", len(content)) + content
         body = strange + encode_record(KeyedRecord("k", b"value"))
@@ -208,10 +207,9 @@
         assert [part.tokens for part in fields.prompt.parts] == [800, 410, 250]
 
     def test_a_caller_cannot_set_what_is_the_fleets(self) -> None:
-        """Symptom: a caller spends another's tokens, or the key reaches an upstream.
+        """Guards against spending another workspace's tokens or sending the key to an upstream.
 
-        Sequence: a caller sends the headers that the fleet sets itself.
-        Cause: they were passed on with the rest.
+        A caller sends headers that only the fleet may set, and they were forwarded.
         """
         fields = ForwardFields("i-1", "huka", 1.5, 1, "12")
         sent = PlatformHeaders().to_upstream(self.headers, fields)
--- a/mothstand/types.py
+++ b/mothstand/types.py
@@ -1,4 +1,4 @@
-"""Names shared by the whole package."""
+"""Types shared by the whole package."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 DataCentre = NewType("DataCentre", str)
 Shard = NewType("Shard", int)
 
-#: The offset of the log record that opened an epoch; 0 stands for "none yet".
+#: Offset of the log record that opened an epoch; 0 if there is none yet.
 Epoch = NewType("Epoch", int)
 
 NO_EPOCH = Epoch(0)
@@ -24,12 +24,12 @@
     name
         The instance's name, from its settings.
     incarnation
-        An id made at process start. A process restarted under the same name and address has an
-        empty memory; without this id it could vouch for reservations that it never saw.
+        An id generated at process start. A restarted process has the same name and address but no
+        state; without this id it could vouch for reservations that it never received.
     address
         ``IP:PORT`` of its peer protocol.
     callers_address
-        ``IP:PORT`` where it serves callers.
+        ``IP:PORT`` on which it serves callers.
     """
 
     name: str
