--- a/mothstand/log/codec.py
+++ b/mothstand/log/codec.py
@@ -29,4 +29,4 @@
     try:
         return _BATCH.validate_json(payload)
     except ValidationError as error:
-        raise ValueError(f"not records of this log: {error.error_count()} validation errors") from error
+        raise ValueError(f"not records of this log: {error.error_count()} errors") from error
