--- a/mothstand/log/health.py
+++ b/mothstand/log/health.py
@@ -10,10 +10,10 @@
     from ..clock import Clock
 
 #: Seconds without an answer after which the log or store counts as unreachable.
-LOG_OUT_AFTER_S = 2.0
+UNREACHABLE_AFTER_S = 2.0
 
 
-class LogHealth:
+class PlatformHealth:
     """Tracks since when the platform's log or store has not answered.
 
     Notes
@@ -26,24 +26,24 @@
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._failing_since_s: float | None = None
-        self._told = False
+        self._is_outage_reported = False
 
-    def answered(self) -> None:
+    def note_success(self) -> None:
         """Record an answer, whatever its content."""
         self._failing_since_s = None
-        if self._told:
-            self._told = False
+        if self._is_outage_reported:
+            self._is_outage_reported = False
             emit(Event.LOG_REACHABLE)
 
-    def failed(self, error: Exception) -> None:
+    def note_failure(self, error: Exception) -> None:
         """Record a call that got no answer."""
         if self._failing_since_s is None:
             self._failing_since_s = self._clock.monotonic_s()
-        if self.is_out and not self._told:
-            self._told = True
+        if self.is_unreachable and not self._is_outage_reported:
+            self._is_outage_reported = True
             emit(Event.LOG_UNREACHABLE, error=str(error))
 
-    def silent_s(self) -> float:
+    def failing_s(self) -> float:
         """Return the seconds since the first unanswered call, or 0 if the latest was answered."""
         since = self._failing_since_s
         return 0.0 if since is None else self._clock.monotonic_s() - since
@@ -54,6 +54,6 @@
         return self._failing_since_s is not None
 
     @property
-    def is_out(self) -> bool:
+    def is_unreachable(self) -> bool:
         """Whether calls have failed for at least `UNREACHABLE_AFTER_S`."""
-        return self.silent_s() >= LOG_OUT_AFTER_S
+        return self.failing_s() >= UNREACHABLE_AFTER_S
