--- a/mothstand/cli.py
+++ b/mothstand/cli.py
@@ -4,7 +4,7 @@
 
 import hashlib
 import json
-import logging as logging_of_python
+import logging as stdlib_logging
 import sys
 from pathlib import Path
 from typing import TYPE_CHECKING
@@ -58,7 +58,7 @@
     logging.set_verbosity(logging.INFO)
     # Log lines of libraries are not events of the catalogue.
     for library in ("httpx", "httpcore", "hpack", "asyncio"):
-        logging_of_python.getLogger(library).setLevel(logging_of_python.WARNING)
+        stdlib_logging.getLogger(library).setLevel(stdlib_logging.WARNING)
 
 
 def _open_log(settings: OperatorSettings) -> HttpLog:
--- a/mothstand/errors.py
+++ b/mothstand/errors.py
@@ -62,7 +62,7 @@
         Whether the request has run at an upstream.
     retry_after_s
         Seconds after which to retry; None if a retry does not help.
-    text
+    message
         Human-readable message: what happened and what to do.
     """
 
--- a/mothstand/log/reader.py
+++ b/mothstand/log/reader.py
@@ -29,7 +29,7 @@
     ----------
     apply
         Called once for each record, with its offset and the record.
-    load
+    load_snapshot
         Called with a snapshot when the records before it have been trimmed; None for a stream
         without snapshots.
 
--- a/mothstand/log/writer.py
+++ b/mothstand/log/writer.py
@@ -31,11 +31,11 @@
 
     Parameters
     ----------
-    least_interval_s
+    min_interval_s
         Minimum time between two appends.
-    gather_s
+    linger_s
         Time that the first record waits for others to share its append.
-    full_records
+    full_batch_records
         Number of queued records that are appended without waiting.
     """
 
--- a/mothstand/process_start.py
+++ b/mothstand/process_start.py
@@ -21,7 +21,7 @@
     ----------
     started_s
         Start time on the monotonic clock.
-    callers
+    callers_socket
         The listening socket for callers; None if it is not open yet.
     """
 
--- a/mothstand/settings/folder.py
+++ b/mothstand/settings/folder.py
@@ -194,7 +194,7 @@
             raise SettingsError(f"{file_name}: [{header}] must not have a name; write [policy]")
     elif not _NAME.fullmatch(name):
         raise SettingsError(
-            f"{file_name}: [{header}]: the name {name!r} must be 1 to 63 characters of a-z 0-9 . _ -"
+            f"{file_name}: [{header}]: the name {name!r} must be 1 to 63 of a-z 0-9 . _ -"
         )
 
 
--- a/mothstand/tests/test_platform.py
+++ b/mothstand/tests/test_platform.py
@@ -176,14 +176,14 @@
         async def run() -> None:
             clock = FakeClock()
             log, health = FakeLog(), PlatformHealth(clock)
-            watched = MonitoredLog(log, health)
+            monitored = MonitoredLog(log, health)
             log.down = True
             with pytest.raises(LogError):
-                await watched.read(STREAM, 1, wait_s=0.0)
+                await monitored.read(STREAM, 1, wait_s=0.0)
             clock.advance(UNREACHABLE_AFTER_S)
             assert health.is_unreachable
             log.down = False
-            await watched.append(STREAM, b"x")
+            await monitored.append(STREAM, b"x")
             assert not health.is_unreachable
 
         anyio.run(run)
