--- a/mothstand/types.py
+++ b/mothstand/types.py
@@ -25,7 +25,7 @@
         The instance's name, from its settings.
     incarnation
         An id generated at process start. A restarted process has the same name and address but no
-        state; without this id it could vouch for reservations that it never received.
+        state; without this id it could confirm reservations that it never received.
     address
         ``IP:PORT`` of its peer protocol.
     callers_address
