--- a/mothstand/gateway/log_output.py
+++ b/mothstand/gateway/log_output.py
@@ -17,39 +17,41 @@
 
 #: Maximum lines per second on average, and maximum lines at once. The rate is four times that of
 #: an instance at twice its usual load; at about 250 bytes per line it is 50 kB a second.
-_LINES_PER_S = 200.0
+_MAX_LINES_PER_S = 200.0
 _BURST_LINES = 400.0
 
 #: Minimum seconds between two reports of the number of dropped lines.
-_TELL_AFTER_S = 1.0
+_DROPPED_REPORT_INTERVAL_S = 1.0
 
 
 #: The logger that `emit` writes to.
 _EVENT_LOGGER = "absl"
 
-_MOST_MESSAGE_CHARACTERS = 200
+_MAX_MESSAGE_CHARACTERS = 200
 
 
 @dataclass(slots=True)
-class LineBudget:
+class LineTokenBucket:
     """Token bucket that limits the rate of lines."""
 
-    left: float = _BURST_LINES
-    at_s: float = 0.0
-    dropped: int = 0
+    available_lines: float = _BURST_LINES
+    updated_s: float = 0.0
+    dropped_lines: int = 0
 
-    def take(self, now_s: float) -> bool:
+    def try_acquire(self, now_s: float) -> bool:
         """Take one line from the bucket if available, else count a dropped line."""
-        self.left = min(_BURST_LINES, self.left + (now_s - self.at_s) * _LINES_PER_S)
-        self.at_s = now_s
-        if self.left < 1:
-            self.dropped += 1
+        self.available_lines = min(
+            _BURST_LINES, self.available_lines + (now_s - self.updated_s) * _MAX_LINES_PER_S
+        )
+        self.updated_s = now_s
+        if self.available_lines < 1:
+            self.dropped_lines += 1
             return False
-        self.left -= 1
+        self.available_lines -= 1
         return True
 
 
-class BoundedOutput(logging_of_python.Filter):
+class LineRateFilter(logging_of_python.Filter):
     """Drops lines above the rate limit, which all severities share.
 
     Notes
@@ -62,21 +64,25 @@
         super().__init__()
         # Not the record's time of day: a clock that is set back would remove lines from the bucket.
         self._clock = clock
-        self._budget = LineBudget(at_s=clock.monotonic_s())
-        self._told_s = 0.0
+        self._bucket = LineTokenBucket(updated_s=clock.monotonic_s())
+        self._last_logged_s = 0.0
 
     def filter(self, record: logging_of_python.LogRecord) -> bool:
         """Return whether to write a line; also log how many lines were dropped."""
         now_s = self._clock.monotonic_s()
-        taken = self._budget.take(now_s)
-        if taken and self._budget.dropped and now_s - self._told_s > _TELL_AFTER_S:
-            dropped, self._budget.dropped = self._budget.dropped, 0
-            self._told_s = now_s
+        is_allowed = self._bucket.try_acquire(now_s)
+        if (
+            is_allowed
+            and self._bucket.dropped_lines
+            and now_s - self._last_logged_s > _DROPPED_REPORT_INTERVAL_S
+        ):
+            dropped, self._bucket.dropped_lines = self._bucket.dropped_lines, 0
+            self._last_logged_s = now_s
             emit(Event.LINES_DROPPED, lines=dropped)
-        return taken
+        return is_allowed
 
 
-class LibraryLines(logging_of_python.Filter):
+class LibraryMessageFilter(logging_of_python.Filter):
     """Converts log messages of libraries into events of one line.
 
     Notes
@@ -90,7 +96,7 @@
         if record.name == _EVENT_LOGGER:
             return True
         error = record.exc_info[1] if record.exc_info else None
-        message = record.getMessage()[:_MOST_MESSAGE_CHARACTERS]
+        message = record.getMessage()[:_MAX_MESSAGE_CHARACTERS]
         emit(Event.LIBRARY_MESSAGE, library=record.name, message=message, error=repr(error))
         return False
 
@@ -122,6 +128,6 @@
     logging.set_verbosity(logging.INFO)
     handler = logging.get_absl_handler()
     handler.python_handler.stream = _NonBlockingOutput()
-    handler.addFilter(LibraryLines())
-    handler.addFilter(BoundedOutput(clock))
+    handler.addFilter(LibraryMessageFilter())
+    handler.addFilter(LineRateFilter(clock))
     logging_of_python.getLogger("asyncio").setLevel(logging_of_python.WARNING)
--- a/mothstand/gateway/start_wait.py
+++ b/mothstand/gateway/startup_wait.py
@@ -12,13 +12,13 @@
 #: Maximum startup time, from the start of the process: twice the time of the imports. Callers give
 #: up on an instance that has not read their request after a second, and an instance that takes
 #: longer than this is waiting for the store.
-START_S = 1.5
+MAX_STARTUP_S = 1.5
 
 #: Seconds between two checks; the store answers within some milliseconds.
-_LOOK_S = 0.02
+_POLL_INTERVAL_S = 0.02
 
 
-class StartWait:
+class StartupWait:
     """Wait until the instance can serve, limited to the usual time of a start.
 
     Parameters
@@ -29,7 +29,7 @@
 
     def __init__(self, clock: Clock, started_s: float, can_serve: Callable[[], bool]) -> None:
         self._clock = clock
-        self._until_s = started_s + START_S
+        self._deadline_s = started_s + MAX_STARTUP_S
         self._can_serve = can_serve
 
     async def wait(self) -> None:
@@ -38,5 +38,5 @@
         Without this wait callers that are waiting when an instance starts would be refused, since
         it receives configuration and upstreams from the store about 50 ms later.
         """
-        while not self._can_serve() and self._clock.monotonic_s() < self._until_s:
-            await self._clock.sleep(_LOOK_S)
+        while not self._can_serve() and self._clock.monotonic_s() < self._deadline_s:
+            await self._clock.sleep(_POLL_INTERVAL_S)
--- a/mothstand/tests/test_caller_connections.py
+++ b/mothstand/tests/test_caller_connections.py
@@ -43,7 +43,7 @@
 
 @asynccontextmanager
 async def connection() -> AsyncIterator[SocketStream]:
-    server = CallerServer(_echo, lambda: _LIMITS, first_idle_timeout_s=9.0, access_log=None)
+    server = CallerServer(_echo, lambda: _LIMITS, initial_idle_timeout_s=9.0, access_log=None)
     runner = web.ServerRunner(server)
     await runner.setup()
     await web.TCPSite(runner, "127.0.0.1", 0).start()
@@ -66,7 +66,7 @@
 
 class TestCallerConnections:
     @pytest.mark.anyio
-    async def test_a_head_that_trickles_in_is_cut_with_a_408(self) -> None:
+    async def test_slowly_sent_head_gets_408(self) -> None:
         """Guards against callers that use all connections by sending heads byte by byte.
 
         Callers could not connect: each byte restarted the timer of the head, or there was none.
@@ -87,7 +87,7 @@
             assert time.monotonic() - began_s < 2.0
 
     @pytest.mark.anyio
-    async def test_a_slow_body_is_waited_for(self) -> None:
+    async def test_slow_body_is_read_completely(self) -> None:
         async with connection() as stream:
             await stream.send(_HEAD + b"ab")
             await anyio.sleep(2 * _LIMITS.header_timeout_s)
@@ -96,13 +96,13 @@
 
     @pytest.mark.anyio
     @pytest.mark.parametrize("turns", range(6))
-    async def test_a_body_that_comes_right_after_its_head_is_no_head(self, turns: int) -> None:
+    async def test_body_right_after_head_does_not_start_head_timer(self, turns: int) -> None:
         """Guards against a 408 in the middle of an answer, three seconds after the request.
 
         A body that arrived one turn of the event loop after its head, while the request was handed
         to its handler, was mistaken for the next head. The answer took longer than a head may.
         """
-        server = CallerServer(_slow_echo, lambda: _LIMITS, first_idle_timeout_s=9.0)
+        server = CallerServer(_slow_echo, lambda: _LIMITS, initial_idle_timeout_s=9.0)
         runner = web.ServerRunner(server)
         await runner.setup()
         await web.TCPSite(runner, "127.0.0.1", 0).start()
@@ -120,7 +120,7 @@
         assert received.endswith(b"abcd")
 
     @pytest.mark.anyio
-    async def test_each_head_has_its_own_time(self) -> None:
+    async def test_head_timer_restarts_for_each_request(self) -> None:
         async with connection() as stream:
             for _ in range(3):
                 await stream.send(_HEAD[:20])
@@ -129,7 +129,7 @@
                 assert (await stream.receive()).endswith(b"abcd")
 
     @pytest.mark.anyio
-    async def test_an_idle_connection_is_closed_at_the_operators_limit(self) -> None:
+    async def test_idle_connection_is_closed_at_configured_limit(self) -> None:
         async with connection() as stream:
             await stream.send(_HEAD + b"abcd")
             assert (await stream.receive()).endswith(b"abcd")
