--- a/mothstand/gateway/crash_guard.py
+++ b/mothstand/gateway/crash_guard.py
@@ -24,7 +24,7 @@
 
 
 class CrashGuard:
-    """Checks a request against the quarantine and reports how its attempts end."""
+    """Checks requests against the quarantine and records the outcome of their attempts."""
 
     def __init__(self, feed: QuarantineFeed, crash_detector: CrashDetector, clock: Clock) -> None:
         self._feed = feed
--- a/mothstand/gateway/log_output.py
+++ b/mothstand/gateway/log_output.py
@@ -116,7 +116,7 @@
         """Do nothing, since writes are not buffered."""
 
     def close(self) -> None:
-        """Leave standard output open; the library closes its stream at the process's end."""
+        """Do nothing: the library closes its stream at exit, and standard output stays open."""
 
 
 def set_up_events(clock: Clock) -> None:
--- a/mothstand/gateway/quarantine_feed.py
+++ b/mothstand/gateway/quarantine_feed.py
@@ -44,7 +44,8 @@
 _READ_WAIT_S = 1.0
 
 #: Minimum pause after each read, so that the next one returns the crash reports of many instances
-#: together. The pause grows with the fleet: all reads stay below `_MAX_READS_PER_S`.
+#: together. The pause grows with the fleet, which keeps the reads of all instances together below
+#: `_MAX_READS_PER_S`.
 _MIN_READ_PAUSE_S = 0.05
 _MAX_READS_PER_S = 500.0
 
@@ -198,7 +199,7 @@
     def known_records(self) -> tuple[KeyedRecord, ...]:
         """Return records of all known crashes, for an instance that starts during an outage."""
         return tuple(
-            self._known_crashes[crash_key(end)].record for end in self.quarantine.all_crashes()
+            self._known_crashes[crash_key(crash)].record for crash in self.quarantine.all_crashes()
         )
 
     def apply_second_hand(self, records: Iterable[KeyedRecord]) -> None:
@@ -281,7 +282,7 @@
         """Drop expired crashes from the store unless another instance has done so meanwhile."""
         await self._clock.sleep(random.uniform(0.0, _MAX_DROP_DELAY_S))
         for request in requests:
-            crashes = [end for end in request.crashes if self._is_known(end)]
+            crashes = [crash for crash in request.crashes if self._is_known(crash)]
             if crashes:
                 self._drop_records(crashes, request.probes, is_relayed=False)
 
@@ -293,8 +294,8 @@
         self, crashes: Iterable[UpstreamCrash], probes: Iterable[Probe], *, is_relayed: bool = True
     ) -> None:
         """Drop a request's records from the store, probes before the crashes they belong to."""
-        keys = [probe_key(trial) for trial in probes]
-        keys += [crash_key(end) for end in crashes]
+        keys = [probe_key(probe) for probe in probes]
+        keys += [crash_key(crash) for crash in crashes]
         for key in keys:
             self._known_crashes.pop(key, None)
             self._outbox.enqueue(KeyedRecord(key, None), is_relayed=is_relayed)
--- a/mothstand/gateway/quarantine_records.py
+++ b/mothstand/gateway/quarantine_records.py
@@ -74,7 +74,7 @@
     """
     digest, _, claim = key.partition(f"/{_PROBE_KEY_PREFIX}-")
     if not _CLAIM_PATTERN.fullmatch(claim):
-        raise ValueError(f"a trial's key ends with its claim, but this is {claim!r}")
+        raise ValueError(f"the key must end with a claim of 16 hex digits, not {claim!r}")
     return Probe(RequestDigest(digest), claim)
 
 
--- a/mothstand/gateway/startup_wait.py
+++ b/mothstand/gateway/startup_wait.py
@@ -19,7 +19,7 @@
 
 
 class StartupWait:
-    """Wait until the instance can serve, limited to the usual time of a start.
+    """Delays requests until the instance can serve, at most for the usual time of a start.
 
     Parameters
     ----------
--- a/mothstand/gateway/upstream_client.py
+++ b/mothstand/gateway/upstream_client.py
@@ -186,7 +186,7 @@
     def close_idle_connections(self, upstream: RegisteredUpstream) -> None:
         """Close the idle connections to an upstream that was deregistered or has restarted.
 
-        It may have ended behind a network partition, where no reset was received. The next request
+        If it ended behind a network partition, no reset was received. The next request
         on such a connection would break without having run, and would fail if it may run only once.
         """
         close_idle(self._connector, upstream.address)
--- a/mothstand/tests/test_forward.py
+++ b/mothstand/tests/test_forward.py
@@ -366,7 +366,7 @@
     def test_broken_stream_is_aborted(self) -> None:
         """Guards against a truncated answer that looks complete.
 
-        An engine crashes in mid-stream, and the caller's answer was ended like a complete one.
+        An engine crashes in mid-stream, and the caller's answer was finished like a complete one.
         """
         world = ForwarderHarness(FakeAnswer(200, [event(1), MayHaveRunError("reset")]))
         assert world.run(world.call(RequestKind.STREAMING)) is None
--- a/mothstand/tests/test_gateway.py
+++ b/mothstand/tests/test_gateway.py
@@ -106,13 +106,13 @@
         """
         fleet.start_engine("e-1", event_s=5.0)
         instance = fleet.start_instance("a", grace_s=5.0)
-        cut: list[str] = []
+        errors: list[str] = []
 
         def ask() -> None:
             try:
                 fleet.ask(instance, "r-1", tokens="100,50000")
             except httpx.HTTPError as error:
-                cut.append(repr(error))
+                errors.append(repr(error))
 
         asking = threading.Thread(target=ask)
         asking.start()
@@ -138,12 +138,12 @@
         time.sleep(UNLOCK_S + 1.0)
         assert stopped.terminate() == 0
         log = fleet.log(fleet.processes["a"])
-        left = [int(n) for n in re.findall(r"MS4017 .*\"tokens\": (\d+)", log)]
+        handed_over = [int(n) for n in re.findall(r"MS4017 .*\"tokens\": (\d+)", log)]
         log = fleet.log(fleet.processes["b"])
-        taken = [int(n) for n in re.findall(r"MS4018 .*\"tokens\": (\d+)", log)]
-        assert len(left) == 1
-        assert left == taken
-        assert left[0] > 0
+        taken_over = [int(n) for n in re.findall(r"MS4018 .*\"tokens\": (\d+)", log)]
+        assert len(handed_over) == 1
+        assert handed_over == taken_over
+        assert handed_over[0] > 0
         assert fleet.ask(other, "r-1").status_code == 200
 
 
--- a/mothstand/tests/test_operations.py
+++ b/mothstand/tests/test_operations.py
@@ -78,20 +78,20 @@
         """
         engine = fleet.start_engine("e-1", event_s=0.3)
         instance = fleet.start_instance("a")
-        ended: list[str] = []
+        errors: list[str] = []
 
         def ask() -> None:
             try:
                 fleet.ask(instance, "r-1")
             except httpx.HTTPError as error:
-                ended.append(repr(error))
+                errors.append(repr(error))
 
         asking = threading.Thread(target=ask)
         asking.start()
         time.sleep(0.8)
         engine.kill()
         asking.join()
-        assert ended
+        assert errors
         failed = wait_for(fleet, "attempt_failed", request="r-1", upstream="e-1")
         assert "broke off" in failed["error"]
         broken = wait_for(fleet, "answer_broken", request="r-1")
--- a/mothstand/tests/test_quarantine_feed.py
+++ b/mothstand/tests/test_quarantine_feed.py
@@ -255,7 +255,7 @@
             async with anyio.create_task_group() as tasks:
                 for name in "abcdef":
                     tasks.start_soon(claim, name)
-            assert len([trial for trial in claimed if trial is not None]) == 1
+            assert len([probe for probe in claimed if probe is not None]) == 1
 
         fleet.play(steps)
 
