--- a/mothstand/gateway/quarantine_records.py
+++ b/mothstand/gateway/quarantine_records.py
@@ -1,4 +1,4 @@
-"""Ends of upstreams under requests, and trials of these, as records of the store."""
+"""Encodes crashes of upstreams and probe requests as records of the store."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 
 
 class _DatedValue(BaseModel):
-    """What has a time, in milliseconds since the Unix epoch."""
+    """Value with a time in milliseconds since the Unix epoch."""
 
     at_ms: int
 
 
 class _CrashValue(_DatedValue):
-    """The end of an upstream under a request; the key begins with the request's digest."""
+    """Crash of an upstream during a request; the key begins with the request's digest."""
 
     upstream: str
     born_ms: int
@@ -37,49 +37,49 @@
 
 
 class _ProbeValue(_DatedValue):
-    """One more attempt of a quarantined request; the key ends with its claim."""
+    """Probe of a quarantined request; the key ends with its claim."""
 
     instance: str
 
 
 def new_probe(digest: RequestDigest) -> Probe:
-    """Return a trial that nobody has claimed yet."""
+    """Return a probe with a new random claim."""
     return Probe(digest, random.randbytes(_CLAIM_BYTES).hex())
 
 
 def crash_key(crash: UpstreamCrash) -> str:
-    """Return a key of limited length, the same from all instances that tell of an end."""
+    """Return a key of limited length that is the same at all instances that report a crash."""
     upstream = crash.upstream
     hashed = xxhash.xxh3_64_hexdigest(f"{upstream.upstream_id} {upstream.born_ms}".encode())
     return f"{crash.digest}/end-{hashed}"
 
 
 def probe_key(probe: Probe) -> str:
-    """Return the key of a trial."""
+    """Return the key of a probe's record."""
     return f"{probe.digest}/{_PROBE_KEY_PREFIX}-{probe.claim_id}"
 
 
 def is_probe_key(key: str) -> bool:
-    """Return whether a key is that of a trial."""
+    """Return whether a key belongs to a probe's record."""
     return f"/{_PROBE_KEY_PREFIX}-" in key
 
 
 def probe_of_key(key: str) -> Probe:
-    """Return the trial that a key names.
+    """Return the probe that a key names.
 
     Raises
     ------
     ValueError
-        If the key names none.
+        If the key is not that of a probe.
     """
     digest, _, claim = key.partition(f"/{_PROBE_KEY_PREFIX}-")
     if not _CLAIM_PATTERN.fullmatch(claim):
-        raise ValueError(f"a trial's key ends with its claim, but this is {claim!r}")
+        raise ValueError(f"the key must end with a claim of 16 hex digits, not {claim!r}")
     return Probe(RequestDigest(digest), claim)
 
 
 def encode_crash(crash: UpstreamCrash, at: datetime) -> KeyedRecord:
-    """Return the end of an upstream under a request as a record."""
+    """Return the record of a crash."""
     value = _CrashValue(
         at_ms=_to_ms(at),
         upstream=crash.upstream.upstream_id,
@@ -92,18 +92,18 @@
 
 
 def encode_probe(probe: Probe, instance: str, at: datetime) -> KeyedRecord:
-    """Return a trial that an instance makes as a record."""
+    """Return the record of a probe that an instance sends."""
     value = _ProbeValue(instance=instance, at_ms=_to_ms(at))
     return KeyedRecord(probe_key(probe), value.model_dump_json().encode())
 
 
 def decode_crash(record: KeyedRecord) -> UpstreamCrash:
-    """Return the end that a record tells of.
+    """Return the crash that a record reports.
 
     Raises
     ------
     ValueError
-        If it cannot be read.
+        If the record's value is invalid.
     """
     value = _CrashValue.model_validate_json(record.value or b"")
     return UpstreamCrash(
@@ -116,12 +116,12 @@
 
 
 def record_age(record: KeyedRecord, now: datetime) -> timedelta:
-    """Return how long ago an end or a trial was, by the clocks of its writer and of this machine.
+    """Return the time since a record was written, by the clocks of its writer and this machine.
 
     Raises
     ------
     ValueError
-        If it cannot be read.
+        If the record's value is invalid.
     """
     value = _DatedValue.model_validate_json(record.value or b"")
     return max(timedelta(0), timedelta(milliseconds=_to_ms(now) - value.at_ms))
--- a/mothstand/tests/test_crash_detector.py
+++ b/mothstand/tests/test_crash_detector.py
@@ -1,4 +1,4 @@
-"""How the end of an upstream is told from a connection that merely broke."""
+"""Tests that crashes of upstreams are distinguished from connections that merely broke."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
         )
 
     def play(self, *steps: object) -> None:
-        """Run the watch beside steps: seconds to wait, requests that break, upstreams that go."""
+        """Run the detector with steps: seconds to wait, broken attempts, deregistered upstreams."""
 
         async def main() -> None:
             async with anyio.create_task_group() as tasks:
@@ -73,7 +73,7 @@
         assert world.check.checks == 1
 
     def test_upstream_that_accepts_connections_has_not_crashed(self) -> None:
-        # Guards against resets and broken answers of living upstreams that count as their ends.
+        # Guards against resets and broken answers of running upstreams that count as crashes.
         world = DetectorHarness(Liveness.LISTENING)
         world.play(attempt("a"), 5.0)
         assert world.crashed_request_ids == []
@@ -84,7 +84,7 @@
         assert world.crashed_request_ids == ["a"]
 
     def test_deregistration_proves_crash(self) -> None:
-        # Guards against an end that is seen late, when a later start has the address already.
+        # Guards against a crash that is missed because a restarted process has the address.
         world = DetectorHarness(Liveness.LISTENING)
         world.play(attempt("a"), 4.5, upstream())
         assert world.crashed_request_ids == ["a"]
@@ -110,7 +110,7 @@
 
 class TestLaterBreaks:
     def test_break_after_harmless_break_is_checked_again(self) -> None:
-        # Guards against a reset that hides the end of the same upstream some seconds later.
+        # Guards against a reset that hides a crash of the same upstream some seconds later.
         world = DetectorHarness(Liveness.LISTENING, Liveness.NOT_LISTENING)
         world.play(attempt("a"), 5.0, attempt("b"), 0.1)
         assert "b" in world.crashed_request_ids
--- a/mothstand/tests/test_operations.py
+++ b/mothstand/tests/test_operations.py
@@ -1,4 +1,4 @@
-"""The walks of docs/OPERATIONS.md: from a failed request's id to its cause, by log lines alone."""
+"""Tests that log lines lead from a failed request's id to its cause, as in docs/OPERATIONS.md."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def logged_events(fleet: GatewayFleet, event: str, **fields: Any) -> list[dict[str, Any]]:
-    """Return the fields of an instance's lines of an event that have some values."""
+    """Return the fields of instance a's log lines of an event that match the given values."""
     found = []
     for line in fleet.log(fleet.processes["a"]).splitlines():
         match = _LINE.search(line)
@@ -43,17 +43,16 @@
 
 
 def wait_for(fleet: GatewayFleet, event: str, **fields: Any) -> dict[str, Any]:
-    """Return the last line of an event, once there is one."""
+    """Return the last matching log line of an event after waiting for one."""
     wait_until(lambda: bool(logged_events(fleet, event, **fields)), f"no line {event} {fields}")
     return logged_events(fleet, event, **fields)[-1]
 
 
 class TestDiagnosisFromLogs:
     def test_refusal_for_exhausted_budget(self, fleet: GatewayFleet) -> None:
-        """Symptom: a caller is told that the budget does not cover its request.
+        """A request larger than the rest of its budget is refused.
 
-        Sequence: the budget is nearly spent, and a request larger than the rest comes.
-        Cause: in the log the request's refusal, what was claimed and spent, and what was paid.
+        The log must show the refusal, the claimed and spent tokens, and the paid tokens.
         """
         fleet.start_engine("e-1")
         instance = fleet.start_instance("a")
@@ -73,27 +72,26 @@
         )
 
     def test_broken_stream(self, fleet: GatewayFleet) -> None:
-        """Symptom: a caller's stream ends in its middle.
+        """A stream breaks because the only engine is killed.
 
-        Sequence: the only engine is killed while it streams.
-        Cause: in the log the upstream, its error, and how much was passed on.
+        The log must show the upstream, its error, and how many events were passed on.
         """
         engine = fleet.start_engine("e-1", event_s=0.3)
         instance = fleet.start_instance("a")
-        ended: list[str] = []
+        errors: list[str] = []
 
         def ask() -> None:
             try:
                 fleet.ask(instance, "r-1")
             except httpx.HTTPError as error:
-                ended.append(repr(error))
+                errors.append(repr(error))
 
         asking = threading.Thread(target=ask)
         asking.start()
         time.sleep(0.8)
         engine.kill()
         asking.join()
-        assert ended
+        assert errors
         failed = wait_for(fleet, "attempt_failed", request="r-1", upstream="e-1")
         assert "broke off" in failed["error"]
         broken = wait_for(fleet, "answer_broken", request="r-1")
@@ -102,10 +100,9 @@
         assert wait_for(fleet, "upstreams_listed")["upstreams"] == {"e-1": engine.address}
 
     def test_late_answer(self, fleet: GatewayFleet) -> None:
-        """Symptom: a caller's answer comes, late.
+        """An answer is late because the engine is slow.
 
-        Sequence: the engine is slow.
-        Cause: in the log one attempt, which took the time; at the metrics address the first event.
+        The log must show one attempt and its duration, the metrics the time to the first event.
         """
         fleet.start_engine("e-1", event_s=0.5)
         instance = fleet.start_instance("a")
--- a/mothstand/tests/test_quarantine_feed.py
+++ b/mothstand/tests/test_quarantine_feed.py
@@ -1,4 +1,4 @@
-"""What instances tell each other of upstreams that ended under requests."""
+"""Tests of the crashes of upstreams and the probes that instances report to each other."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 
 class Fleet:
-    """Feeds of some instances on one store, by their names."""
+    """Feeds of several instances on one store, by name of the instance."""
 
     def __init__(self) -> None:
         self.store = MemoryStore()
@@ -89,7 +89,7 @@
         return [key for key in self.keys() if "trial" in key]
 
     def play(self, steps: Callable[[], Awaitable[None]]) -> None:
-        """Run all feeds that were started beside steps."""
+        """Run all started feeds while the steps run."""
 
         async def main() -> None:
             async with anyio.create_task_group() as tasks:
@@ -104,7 +104,7 @@
 
 class TestQuarantineFeed:
     def test_crashes_seen_by_different_instances_add_up(self) -> None:
-        # Guards against ends that each instance counts for itself.
+        # Guards against instances that count only the crashes they saw themselves.
         fleet = Fleet()
         for name in "abcd":
             fleet.start(name)
@@ -118,7 +118,7 @@
         fleet.play(steps)
 
     def test_starting_instance_learns_earlier_crashes(self) -> None:
-        # Guards against a restart that lets the request through again.
+        # Guards against a restarted instance that forwards a quarantined request.
         fleet = Fleet()
         fleet.start("a")
 
@@ -134,7 +134,7 @@
         fleet.play(steps)
 
     def test_starting_instance_detects_common_cause_of_crashes(self) -> None:
-        # Guards against a restart after which a popular request is held for long.
+        # Guards against a long quarantine of a popular request after a restart.
         fleet = Fleet()
         fleet.start("a")
 
@@ -153,7 +153,7 @@
         fleet.play(steps)
 
     def test_starting_instance_continues_probe_pause(self) -> None:
-        # Guards against restarts in series, after which no trial is ever due.
+        # Guards against repeated restarts after which no probe is ever due.
         fleet = Fleet()
         fleet.start("a")
 
@@ -183,7 +183,7 @@
         fleet.play(steps)
 
     def test_peer_appends_records_of_instance_cut_off_from_store(self) -> None:
-        # Guards against ends that only an instance cut off from the store has seen.
+        # Guards against crashes known only to an instance that is cut off from the store.
         fleet = Fleet()
         for name in "abcde":
             fleet.start(name)
@@ -198,7 +198,8 @@
         fleet.play(steps)
 
     def test_records_are_appended_while_peers_hang(self) -> None:
-        # Guards against an end that waits for a call to a peer, and is lost with its instance.
+        # Guards against a crash record that waits for a call to a peer and is lost if the instance
+        # dies.
         fleet = Fleet()
         for name in "abcd":
             fleet.start(name)
@@ -235,7 +236,7 @@
         fleet.play(steps)
 
     def test_only_one_instance_sends_a_probe(self) -> None:
-        # Guards against a trial or two from each instance.
+        # Guards against one or two probes from each instance.
         fleet = Fleet()
         for name in "abcdef":
             fleet.start(name)
@@ -254,12 +255,12 @@
             async with anyio.create_task_group() as tasks:
                 for name in "abcdef":
                     tasks.start_soon(claim, name)
-            assert len([trial for trial in claimed if trial is not None]) == 1
+            assert len([probe for probe in claimed if probe is not None]) == 1
 
         fleet.play(steps)
 
     def test_probe_with_unanswered_claim_is_sent_by_another_instance(self) -> None:
-        # Guards against a trial that nobody makes, and that counts as made for good.
+        # Guards against a probe that is never sent but always counts as sent.
         fleet = Fleet()
         for name in "ab":
             fleet.start(name)
@@ -275,7 +276,7 @@
         fleet.play(steps)
 
     def test_probe_returned_twice_does_not_drop_another_probe(self) -> None:
-        # Guards against one trial more for each append that is repeated after a lost answer.
+        # Guards against an additional probe for each append that is repeated after a lost answer.
         fleet = Fleet()
         for name in "abc":
             fleet.start(name)
@@ -296,7 +297,7 @@
         fleet.play(steps)
 
     def test_peer_returns_probe_of_instance_cut_off_from_store(self) -> None:
-        # Guards against a trial that counts as made until its instance has its store again.
+        # Guards against a probe that counts as sent until its instance can reach the store again.
         fleet = Fleet()
         for name in "abcdef":
             fleet.start(name)
