--- a/mothstand/core/config.py
+++ b/mothstand/core/config.py
@@ -108,7 +108,7 @@
     data_centre: DataCentre
     serves: tuple[str, ...]
     slots: int
-    can_resume: bool = False
+    resumes: bool = False
     orders: OrderCheck = OrderCheck.NONE
     role: str = "mixed"
 
--- a/mothstand/core/routing.py
+++ b/mothstand/core/routing.py
@@ -210,7 +210,7 @@
             u
             for u in upstreams
             if u.name not in call.tried_upstreams
-            and (u.can_resume or not call.must_resume)
+            and (u.resumes or not call.must_resume)
             and self._accepts_work(u, config, now_utc, now_s)
         ]
 
