--- a/mothstand/gateway/__init__.py
+++ b/mothstand/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The HTTP gateway of the fleet: takes requests by route, forwards them, bills their tokens."""
+"""HTTP gateway of the fleet: routes requests, forwards them and bills their tokens."""
--- a/mothstand/gateway/accounts.py
+++ b/mothstand/gateway/accounts.py
@@ -30,28 +30,28 @@
     from .member_feed import MemberFeed
     from .store import Store
 
-#: Longest wait of a request for tokens: several calm rounds of the store or of all peers, and
-#: within the shortest usual objective of a stream.
+#: Maximum wait of a request for tokens. Covers several round trips to the store or to all peers
+#: without load, and is below the shortest usual latency objective of a stream.
 TOKENS_WAIT_S = 0.3
 
-#: Longest wait of a lender for the store: several calm rounds, and well within the time after
-#: which the borrower takes the lender for silent.
+#: Maximum wait of a lender for the store. Covers several round trips without load, and is well
+#: below the time after which the borrower considers the lender unresponsive.
 _CLAIM_FOR_BORROWER_S = 0.12
 
-#: Of a stop's end, kept to leave to a peer what could not be given back: a few calls of
-#: milliseconds.
+#: Time reserved at the end of a stop to hand over to a peer what could not be given back: a few
+#: calls of milliseconds each.
 _HAND_OVER_S = 0.3
 
-#: Until an instance that stops has a successor. So long before its claims unlock, that one can
-#: still prove what was not spent of them; later, nobody can.
+#: Time until the successor of a stopped instance runs. If the claims unlock later than that, the
+#: successor can still prove which part of them was not spent; after the unlock nobody can.
 _RESTART_S = 1.5
 
-#: Until tokens that lie elsewhere have moved, or running requests have given back their rest.
+#: Time in which tokens move from other instances, or running requests release unused tokens.
 _COME_BACK_S = 0.6
 
 
 class BudgetShard:
-    """The budgets of one shard: who waits for tokens, and where they may come from."""
+    """Reserves tokens of one shard's budgets, from claims or from loans of peers."""
 
     def __init__(
         self,
@@ -90,7 +90,7 @@
         )
 
     def _claimants(self) -> int:
-        """Return how many instances claim here, 0 unless this one is known to be one."""
+        """Return the number of claimants of the shard, 0 unless this instance is one of them."""
         fleet = self._members.fleet
         if not (self._members.is_settled and fleet.is_claimant(self._shard)):
             return 0
@@ -99,7 +99,7 @@
     async def reserve(
         self, budget: BudgetName, tokens: int, priority: int, wait_s: float, tasks: TaskGroup
     ) -> Reservation | None:
-        """Set tokens aside, waiting for a claim or a loan while there is hope of one."""
+        """Reserve tokens, waiting up to `wait_s` for a claim or a loan that may provide them."""
         keeper = self.keeper
         keeper.demand_on(budget).ask(tokens, priority, self._clock.monotonic_s())
         reservation = self._try(budget, tokens, priority)
@@ -118,22 +118,23 @@
         return reservation
 
     async def lend(self, request: LoanRequest) -> LoanReply:
-        """Give tokens to a peer; for one that does not claim, claim what is missing first."""
+        """Lend tokens to a peer; if the peer does not claim itself, claim missing tokens first."""
         keeper, budget, tokens = self.keeper, request.budget, request.needed_tokens
         if keeper.is_claimant and request.borrows_only:
             keeper.demand_on(budget).ask(tokens, request.priority, self._clock.monotonic_s())
         elif keeper.is_claimant:
-            # One that claims itself has found nothing free: what is held here is all there is.
+            # A borrower that claims has found nothing free in the store, so only tokens held by
+            # this instance can be lent.
             tokens = min(tokens, keeper.book.of(budget).held_tokens)
         if keeper.is_claimant and not self._has(budget, tokens, request.priority):
             await self._claim_for(budget, tokens, request.priority)
         return self.borrower.lend(request)
 
     async def _claim_for(self, budget: BudgetName, tokens: int, priority: int) -> None:
-        """Wait for a look at the store on behalf of a borrower.
+        """Wait for a poll of the store on behalf of a borrower.
 
-        Without it a lender in touch with the store gives no more than its base, and at a budget's
-        end requests are refused for want of tokens that others hold past theirs.
+        Otherwise a lender that reaches the store lends at most its base, and near a budget's end
+        requests are refused although other instances hold tokens beyond their bases.
         """
         if not self.keeper.may_help(budget):
             return
@@ -153,21 +154,21 @@
         return self.keeper.book.of(budget).available_tokens - kept >= tokens
 
     def _look_is_over(self) -> Callable[[], bool]:
-        """Ask for a look at the store that begins after now; return what tells its end."""
+        """Request a new poll of the store; return a function that tests whether it is over."""
         began_s = self._clock.monotonic_s()
         self.keeper.wake()
         return lambda: self.keeper.looked_s >= began_s or self._health.is_failing
 
     async def _look(self, budget: BudgetName, tokens: int, priority: int) -> Reservation | None:
-        """Wait for a look at the store that began after now."""
+        """Wait for a poll of the store that begins after this call."""
         return await self._wait(budget, tokens, priority, self._look_is_over())
 
     async def _borrow(
         self, budget: BudgetName, tokens: int, priority: int, tasks: TaskGroup
     ) -> Reservation | None:
-        """Wait for a round of loans that began after now.
+        """Wait for a round of loans that begins after this call.
 
-        A round that is under way may have asked its peers already, for less than now waits.
+        A round that is already running may have asked its peers for less than is needed now.
         """
 
         def is_over() -> bool:
@@ -195,11 +196,11 @@
         return self.keeper.book.of(budget).reserve(tokens, kept_tokens=kept)
 
     def is_exhausted(self, budget: BudgetName, tokens: int) -> bool:
-        """Return whether a request surely does not fit any more.
+        """Return whether a request cannot fit into the budget without a top-up.
 
-        What holders have surely spent only grows, so a request that does not fit into what is left
-        of it never will, short of a top-up. What others merely hold may come back, and what is in
-        doubt may not have been consumed: neither makes a budget used up.
+        Confirmed spend only grows, so a request that exceeds the remainder never fits. Tokens held
+        by other instances may be returned, and uncertain tokens may not have been consumed:
+        neither makes a budget exhausted.
         """
         keeper = self.keeper
         spent = self.borrower.spent_tokens(budget)
@@ -208,7 +209,7 @@
         return tokens > keeper.prepaid().get(budget, 0) - spent
 
     def come_back_s(self) -> float:
-        """Return when a request that got no tokens should come back."""
+        """Return the seconds after which a request that got no tokens should be retried."""
         if self._health.is_failing:
             return max(_COME_BACK_S, self.keeper.unlocks_in_s())
         return _COME_BACK_S
@@ -220,7 +221,7 @@
 
 
 class Accounts:
-    """All budgets of one instance, spread over shards."""
+    """Reserves, settles and lends tokens of all budgets of one instance, by shard."""
 
     def __init__(
         self,
@@ -273,17 +274,17 @@
             self._tasks = None
 
     def begin_leaving(self) -> None:
-        """Give back what is held beyond the running requests, when no more are taken on."""
+        """Start to give back tokens that running requests don't need; no more are accepted."""
         for shard in self.shards:
             shard.keeper.begin_leaving()
 
     async def leave(self, *, until_s: float) -> None:
-        """Give back what is not used, at a stop, and leave to a peer what cannot be given back.
+        """Give back unused tokens at a stop; hand over to a peer what cannot be given back.
 
         Parameters
         ----------
         until_s
-            When that must be over, on the monotonic clock.
+            Deadline on the monotonic clock.
         """
         began_s = self._clock.monotonic_s()
         with anyio.move_on_after(until_s - _HAND_OVER_S - began_s) as giving_back:
@@ -298,18 +299,18 @@
                 await shard.borrower.hand_over()
 
     async def _wait_for_unlock(self, until_s: float) -> None:
-        """Wait for claims that unlock soon: past its window no peer gets what is left of them."""
+        """Wait for claims that unlock soon: before, tokens past a window can't be handed over."""
         unlocks_in_s = max(shard.keeper.unlocks_in_s() for shard in self.shards)
         ends_s = self._clock.monotonic_s() + unlocks_in_s
         if self._health.is_failing and unlocks_in_s <= _RESTART_S and ends_s <= until_s:
             await self._clock.sleep(unlocks_in_s)
 
     def take_over(self, handover: Handover) -> None:
-        """Take the tokens of a peer that stops."""
+        """Add tokens that a peer hands over."""
         self.shard_of(handover.budget).borrower.take_over(handover)
 
     def unused_tokens(self) -> dict[BudgetName, int]:
-        """Return what is claimed and not used, of the budgets with any."""
+        """Return the claimed and unused tokens of each budget that has some."""
         held = (held for shard in self.shards for held in shard.keeper.book.held.values())
         return {one.budget: one.held_tokens for one in held if one.held_tokens > 0}
 
@@ -320,11 +321,12 @@
     async def reserve(
         self, budget: BudgetName, tokens: int, priority: int, remaining_s: float
     ) -> Reservation | Refusal:
-        """Set a request's upper bound aside, or say truthfully why not."""
+        """Reserve a request's upper bound, or return the reason for the refusal."""
         shard = self.shard_of(budget)
         wait_s = min(TOKENS_WAIT_S, remaining_s / 3)
         if self._tasks is None:
-            # At a stop the last requests of kept connections arrive after the claims' tasks ended.
+            # During a stop, requests on persistent connections may arrive after the claim tasks
+            # have ended.
             return Refusal(ErrorKind.STOPPING, retry_after_s=STOPPING_COME_BACK_S)
         reservation = await shard.reserve(budget, tokens, priority, wait_s, self._tasks)
         if reservation is not None:
@@ -343,11 +345,11 @@
         shard.announce()
 
     async def lend(self, request: LoanRequest) -> LoanReply:
-        """Give tokens to a peer."""
+        """Lend tokens to a peer."""
         return await self.shard_of(request.budget).lend(request)
 
     def look(self) -> None:
-        """Look at the claims now: a top-up, a new budget, or another role may be in force."""
+        """Request a poll of all claims: a top-up, a new budget or another role may be in force."""
         for shard in self.shards:
             shard.keeper.wake()
 
--- a/mothstand/gateway/borrowing.py
+++ b/mothstand/gateway/borrowing.py
@@ -1,4 +1,4 @@
-"""Borrows tokens from other instances when what is held here does not do."""
+"""Borrows tokens from other instances when this one holds too few, and lends to them."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
     from ..types import BudgetName
     from .claim_keeper import ClaimKeeper
 
-#: Seconds of one's own demand that are asked for on top of what waits.
+#: Seconds of this instance's demand that are requested in addition to waiting requests.
 _EXTRA_S = 2.0
 
-#: A loan whose answer was lost is asked for again for this long; after that its tokens stay with
-#: nobody, which costs them but overspends nothing.
+#: A loan whose answer was lost is requested again for this long. After that its tokens are lost,
+#: which overspends nothing.
 _DOUBT_KEPT_S = 30.0
 
 
 @dataclass(frozen=True, slots=True)
 class _DoubtfulLoan:
-    """A loan without an answer: the peer may have taken the tokens out."""
+    """Loan without an answer: the peer may have deducted the tokens."""
 
     peer: Peer
     request: LoanRequest
@@ -38,7 +38,7 @@
 
 
 class Borrower:
-    """Asks peers for tokens of the budgets of one keeper, one round at a time for each."""
+    """Borrows tokens of one shard's budgets, one round at a time per budget and priority."""
 
     def __init__(
         self,
@@ -60,15 +60,15 @@
         self._doubtful: list[_DoubtfulLoan] = []
 
     def is_running(self, budget: BudgetName, priority: int) -> bool:
-        """Return whether a round for requests of a priority is under way."""
+        """Return whether a round for requests of a priority is running."""
         return (budget, priority) in self._running
 
     def spent_tokens(self, budget: BudgetName) -> int:
-        """Return what lenders said to be surely spent of a budget."""
+        """Return the confirmed spend of a budget, as reported by lenders."""
         return self._spent_tokens.get(budget, 0)
 
     def lend(self, request: LoanRequest) -> LoanReply:
-        """Give tokens to a peer, from what is held."""
+        """Lend tokens that this instance holds to a peer."""
         self._keeper.update_opening()
         self._keeper.book.of(request.budget).heard_spent_tokens += request.spent_tokens
         given = self.loans.lend(
@@ -79,24 +79,24 @@
             extra_tokens=request.extra_tokens,
         )
         emit(Event.TOKENS_LENT, budget=request.budget, tokens=given, loan=request.loan_id)
-        # Who got all needs no others.
+        # A borrower that got everything asks no other peers.
         named = None if given >= request.needed_tokens else self._keeper.holdings(request.budget)
         return LoanReply(given, self._keeper.spent_tokens(request.budget), named)
 
     def take_over(self, handover: Handover) -> None:
-        """Take tokens that a peer leaves: it stops, or has only borrowed them."""
+        """Add tokens handed over by a peer that stops or returns a loan."""
         held = self._keeper.book.of(handover.budget)
         taken = self.loans.take_over(held, handover.loan_id, handover.tokens)
         emit(Event.TOKENS_TAKEN_OVER, budget=handover.budget, tokens=taken, loan=handover.loan_id)
         self._changed()
 
     async def hand_over(self) -> None:
-        """Leave all that may be spent to a peer that answers, at a stop without the store.
+        """Hand over all available tokens to a responsive peer, at a stop without the store.
 
-        What a stopped instance holds is lost to all callers: it cannot lower its claims, and once
-        it has been out of touch for long enough to spend them whole, nobody can prove later that
-        it did not. Of a rolling stop of six in an outage of eight seconds 13 to 17 % of a budget
-        stayed unspent to the day's end, while every request was refused.
+        Otherwise they are lost to all callers: the instance cannot lower its claims, and once they
+        have unlocked nobody can prove that it did not spend them. After a rolling stop of six
+        instances in an outage of 8 s, 13 to 17 % of a budget stayed unspent while every request
+        was refused.
         """
         self._keeper.update_opening()
         spare = [h for h in self._keeper.book.held.values() if h.available_tokens > 0]
@@ -108,11 +108,10 @@
             await self._hand_over(peer, handover)
 
     async def give_back_rests(self) -> None:
-        """Give lenders back what requests here have left over, where this instance only borrows.
+        """Give unused borrowed tokens back to a lender, unless this instance claims.
 
-        Each request borrows what it may use at most, and mostly uses less. Left where it is, the
-        rest waits for the next request of that workspace here: a good part of a budget near its end
-        lay so in a large fleet, while every other request was refused.
+        A request borrows its maximum and mostly uses less. The unused tokens of many borrowers
+        added up to a good part of a budget near its end, while every other request was refused.
         """
         if self._keeper.is_claimant:
             return
@@ -123,22 +122,21 @@
             await self._hand_over(lenders[0], handover)
 
     def _rests(self) -> list[Handover]:
-        """Return what can be given back of each budget."""
-        # What is claimed is given back through the store.
+        """Return a handover for each budget with tokens to give back."""
+        # Claimed tokens are given back through the store.
         borrowed = [h for h in self._keeper.book.held.values() if not h.limit_tokens]
         return [
             Handover(held.budget, held.available_tokens, uuid.uuid4().hex)
             for held in borrowed
-            # What was borrowed piece by piece for a request that still waits is no rest.
+            # Tokens that were borrowed in parts for a waiting request are needed by it.
             if held.available_tokens > 0 and not self._keeper.waiting_of(held.budget).total()
         ]
 
     async def _hand_over(self, peer: Peer, handover: Handover) -> None:
-        """Take tokens out and hand them over, once.
+        """Deduct tokens and hand them over, once.
 
-        Without an answer they are nobody's. Sent again they might meet a later start of the peer,
-        which knows no ids of the one before: what that one had added and spent would be added once
-        more.
+        Without an answer they are lost. If they were sent again, a restarted peer, which knows no
+        earlier loan ids, could add a second time what it had added and spent before.
         """
         held = self._keeper.book.of(handover.budget)
         sent = replace(handover, tokens=held.give(handover.tokens))
@@ -150,7 +148,8 @@
             return
         except PeerError as error:
             self._suspect(peer, error)
-        # Told also without an answer: no line of the peer's with this loan says that they are lost.
+        # Logged without an answer too: if the peer logged no line with this loan id, the tokens
+        # are lost.
         emit(
             Event.TOKENS_HANDED_OVER,
             holder=self._keeper.book.me,
@@ -161,15 +160,15 @@
         )
 
     def _suspect(self, peer: Peer, error: PeerError) -> None:
-        """Ask a peer that did not answer nothing for a while."""
+        """Send no requests for a while to a peer that did not answer."""
         self._choice.silent(peer, self._clock.monotonic_s())
         emit(Event.PEER_SUSPECTED, peer=peer.instance, error=str(error))
 
     async def _answering_peer(self) -> Peer | None:
-        """Return the first lender that answers: what is left to a dead one is lost."""
+        """Return the first lender that answers: tokens handed over to a dead one are lost."""
         for peer in self._lenders():
             try:
-                # Any call tells; this one moves nothing.
+                # Any call shows whether the peer answers; this one moves no tokens.
                 await self._link.registrations_followed_s(peer.address)
             except PeerError as error:
                 self._suspect(peer, error)
@@ -178,14 +177,14 @@
         return None
 
     def begin(self, budget: BudgetName, priority: int, tasks: TaskGroup) -> None:
-        """Start a round unless one is under way."""
+        """Start a round unless one is running."""
         if self.is_running(budget, priority):
             return
         self._running.add((budget, priority))
         tasks.start_soon(self._round, budget, priority)
 
     async def _round(self, budget: BudgetName, priority: int) -> None:
-        """Ask one peer after the other until what waits can be served."""
+        """Ask one peer after another until the waiting requests can be served."""
         try:
             now_s = self._clock.monotonic_s()
             table = self._keeper.book.table
@@ -199,7 +198,7 @@
             self._changed()
 
     async def ask_again(self) -> None:
-        """Ask for the loans whose answers were lost."""
+        """Repeat the requests for loans whose answers were lost."""
         doubtful, self._doubtful = self._doubtful, []
         for doubt in doubtful:
             if doubt.until_s > self._clock.monotonic_s():
@@ -212,15 +211,15 @@
     async def _ask(
         self, peer: Peer, budget: BudgetName, priority: int, missing: int
     ) -> tuple[Holding, ...] | None:
-        """Ask a peer for a loan; return who else holds some, if it said so."""
+        """Ask a peer for a loan; return the holdings of other instances if it reported them."""
         now_s = self._clock.monotonic_s()
         loan_id = uuid.uuid4().hex
         if self._keeper.is_claimant:
             extra = self._extra_tokens(budget, now_s)
             request = LoanRequest(budget, priority, missing, extra, loan_id)
         else:
-            # No more than what waits: the rests of some 60 borrowers of each budget add up to
-            # what its last callers are refused.
+            # No extra tokens: unused tokens of some 60 borrowers of a budget would add up to the
+            # requests that are refused near its end.
             spent = self._take_untold(budget)
             request = LoanRequest(budget, priority, missing, 0, loan_id, True, spent)
         reply = await self._borrow(peer, request, now_s + _DOUBT_KEPT_S)
@@ -231,20 +230,20 @@
         return reply.holdings
 
     def _extra_tokens(self, budget: BudgetName, now_s: float) -> int:
-        """Return what is welcome on top of what waits.
+        """Return the tokens to request in addition to waiting requests.
 
-        In touch with the store nothing: loans are asked for there only when all is claimed, and
-        what one has borrowed and not spent at its death is lost to everyone.
+        Zero while the store is reachable: loans are then requested only when everything is
+        claimed, and borrowed tokens that are unspent when an instance dies are lost.
         """
         if not self._keeper.is_cut_off:
             return 0
         return int(self._keeper.demand_on(budget).total.rate(now_s) * _EXTRA_S)
 
     def _take_untold(self, budget: BudgetName) -> int:
-        """Return what is still to be told as spent. Should the call fail it is never told.
+        """Return and reset the unreported spend. If the call fails, it is never reported.
 
-        Told twice it would make a lender believe that a budget is used up which is not, and refuse
-        for good what was paid for; told never, a request at the end is asked to come back.
+        Spend that is reported twice could make a lender refuse paid requests for good, as if the
+        budget were exhausted. Unreported spend only makes the last requests be retried later.
         """
         held = self._keeper.book.of(budget)
         untold, held.untold_tokens = held.untold_tokens, 0
--- a/mothstand/gateway/claim_keeper.py
+++ b/mothstand/gateway/claim_keeper.py
@@ -1,4 +1,4 @@
-"""Keeps this instance's claims on one shard of budgets filled, by conditional appends."""
+"""Writes this instance's claims on one shard of budgets, by conditional appends."""
 
 from __future__ import annotations
 
@@ -41,19 +41,20 @@
     from ..types import BudgetName, Shard
     from .store import KeyedRecord
 
-#: Appends tried in a row against other writers before the next look; each costs one read, too.
+#: Maximum appends in a row that conflict with other writers before the next poll. Each also costs
+#: one read.
 _MOST_CONFLICTS = 8
 
-#: Least time between two looks, however many requests wait: what they wait for is then mostly
-#: held elsewhere, and each look is two calls of the store.
+#: Minimum time between two polls, also when many requests wait: the tokens that they wait for are
+#: then mostly held by other instances, and each poll makes two calls to the store.
 _LEAST_PAUSE_S = 0.03
 
-#: Looks a second of all claimants together. More of them fail each other's conditions, and each
-#: reads what all others write; with nine claimants it is one in 0.36 s for each.
+#: Maximum polls per second of all claimants together. With more, appends conflict, and each
+#: claimant reads what all others write. With nine claimants each polls every 0.36 s.
 _MOST_LOOKS_PER_S = 25.0
 
-#: Records read of the time before the start, for what they say of this instance's last start: ten
-#: seconds of looks at some six changed claims each.
+#: Records from before the start that are read for the renewals of this instance's previous start:
+#: ten seconds of polls with some six changed claims each.
 _HISTORY_RECORDS = 2000
 
 _BACKOFF_FIRST_S = 0.1
@@ -61,18 +62,18 @@
 
 
 class ClaimKeeper:
-    """Reads the claims of a shard and writes one's own.
+    """Reads the claims of a shard and writes those of this instance.
 
     Parameters
     ----------
     prepaid
         Returns the prepaid totals of the shard's budgets.
     claimants
-        Returns how many instances claim budgets of the shard, this one included; 0 if it does not.
+        Returns the number of claimants of the shard, this instance included; 0 if it is not one.
     changed
-        Called when there may be more to reserve.
+        Called when more tokens may be available.
     started_s
-        When the process started, on the monotonic clock; now if not given.
+        Start of the process on the monotonic clock; the current time if not given.
     """
 
     def __init__(
@@ -113,21 +114,21 @@
 
     @property
     def is_claimant(self) -> bool:
-        """Whether this instance claims from the store, and does not only borrow."""
+        """Whether this instance claims from the store; otherwise it only borrows."""
         return self._claimants() > 0
 
     @property
     def is_cut_off(self) -> bool:
-        """Whether the store does not answer."""
+        """Whether the store is unreachable."""
         return self._health.is_failing
 
     @property
     def is_listed(self) -> bool:
-        """Whether the claims of all holders were read."""
+        """Whether the claims of all holders have been read."""
         return self._listed
 
     def demand_on(self, budget: BudgetName) -> BudgetDemand:
-        """Return the demand on a budget."""
+        """Return the demand for a budget's tokens."""
         return self._demand.setdefault(budget, BudgetDemand())
 
     def waiting_of(self, budget: BudgetName) -> Counter[int]:
@@ -135,9 +136,9 @@
         return self._waiting.setdefault(budget, Counter())
 
     def kept_tokens(self, budget: BudgetName, priority: int) -> int:
-        """Return what requests of a priority must leave for more urgent ones.
+        """Return the tokens that requests of a priority must leave for higher priorities.
 
-        A borrower keeps nothing: its lenders do, for all whom they serve.
+        Zero for a borrower: its lenders withhold tokens on behalf of all their borrowers.
         """
         if not self.is_claimant:
             return 0
@@ -145,14 +146,14 @@
         return self.demand_on(budget).kept_tokens(priority, self.supply(budget), now_s)
 
     def may_help(self, budget: BudgetName) -> bool:
-        """Return whether a look at the store can serve what waits."""
+        """Return whether a poll of the store may provide the tokens of all waiting requests."""
         if self._health.is_failing:
             return False
         free = self.prepaid().get(budget, 0) - self.book.table.claimed_tokens(budget)
         return max(0, free) + self.book.of(budget).held_tokens >= self._waiting_tokens(budget)
 
     def supply(self, budget: BudgetName) -> Supply:
-        """Return whether a budget can be refilled."""
+        """Return the state that decides whether a budget can be refilled."""
         held = self.book.of(budget)
         return Supply(
             silent_s=self._health.silent_s(),
@@ -161,27 +162,27 @@
         )
 
     def wanted_tokens(self, budget: BudgetName, priority: int) -> int:
-        """Return what has to be held for all that waits, up to a priority, to be served.
+        """Return the tokens needed to serve all waiting requests up to a priority.
 
-        What must be left for more urgent requests belongs to it: without that, a request waits
-        for tokens, gets as many as it asked for, and is refused though enough is held.
+        Includes the tokens withheld for higher priorities. Otherwise a request would get as many
+        tokens as it asked for and still be refused.
         """
         needed = sum(tokens for p, tokens in self.waiting_of(budget).items() if p <= priority)
         return needed + self.kept_tokens(budget, priority)
 
     def _waiting_tokens(self, budget: BudgetName) -> int:
-        """Return what has to be held for all that waits to be served."""
+        """Return the tokens needed to serve all waiting requests."""
         waiting = [p for p, tokens in self.waiting_of(budget).items() if tokens > 0]
         return self.wanted_tokens(budget, max(waiting)) if waiting else 0
 
     def holdings(self, budget: BudgetName) -> tuple[Holding, ...] | None:
-        """Return what other claimants hold of a budget, most first; None if that is not known."""
+        """Return other claimants' holdings of a budget, largest first; None if not known."""
         if not (self.is_claimant and self._listed) or self._health.is_failing:
             return None
         return holdings(self.book.table, budget, self.book.me, self._clock.monotonic_s())
 
     def spent_tokens(self, budget: BudgetName) -> int:
-        """Return what was surely spent of a budget; the truth is this or more."""
+        """Return the confirmed spend of a budget: a lower bound of what was spent."""
         claims = self.book.table.claims[budget]
         spent = sum(c.spent_tokens for holder, c in claims.items() if holder != self.book.me)
         return spent + self.book.of(budget).recorded_spent_tokens
@@ -194,20 +195,20 @@
             held.spend_borrowed(spent)
 
     def wake(self) -> None:
-        """Look at the claims now."""
+        """Request a poll now."""
         self._wake.set()
 
     def begin_leaving(self) -> None:
-        """Lower claims to what running requests need at most, from now on, with each look.
+        """Lower claims to the maximum that running requests need, from now on, at each poll.
 
-        Left to the stop's end, all of it had to fit into a part of a second: with a store that
-        takes 0.3 s for an answer it did not, and what a stopped instance held was lost to everyone.
+        At the end of a stop only a fraction of a second is left for that. With a store that takes
+        0.3 s per call it was too short, and the tokens of the stopped instance were lost.
         """
         self._leaving = True
         self.wake()
 
     async def give_back(self) -> None:
-        """Lower all claims to what was used, at a stop: the rest would be lost to everyone."""
+        """Lower all claims to what was used, at a stop: the remainder would be lost."""
         self._leaving = True
         if not self._holds_claims():
             return
@@ -218,7 +219,7 @@
             emit(Event.CLAIMS_STRANDED, error=str(error))
 
     async def run(self) -> None:
-        """Keep claims filled until cancelled."""
+        """Poll the store and update claims until cancelled."""
         backoff = Backoff(_BACKOFF_FIRST_S, _BACKOFF_MOST_S)
         while True:
             self._wake = anyio.Event()
@@ -242,16 +243,16 @@
 
     @property
     def _pause_s(self) -> float:
-        """Seconds between two looks that nothing asks for."""
+        """Seconds between two polls that were not requested."""
         return max(self._look_every_s, self._claimants() / _MOST_LOOKS_PER_S)
 
     def _holds_claims(self) -> bool:
-        """Return whether claims from the time as a claimant are still to be given back."""
+        """Return whether claims from a time as claimant are still to be given back."""
         held = self.book.held.values()
         return any(h.limit_tokens > max(0, h.needed_claim_tokens) for h in held)
 
     async def look(self) -> None:
-        """Read on, and write the claims that should change."""
+        """Read new records and write the claims that should change."""
         for _ in range(_MOST_CONFLICTS):
             await self._read()
             claims = self._plan()
@@ -277,7 +278,7 @@
         self.book.took(page.next_offset)
 
     async def _list(self) -> None:
-        """Read the newest claims of all holders, at the start or after a gap."""
+        """Read the newest claims of all holders, at the start or after records were trimmed."""
         page = await self._store.newest(self._stream)
         self._health.answered()
         self.book.table = ClaimTable(read_at_s=self.book.table.read_at_s)
@@ -288,12 +289,12 @@
         self._listed = True
 
     async def _read_history(self, end_offset: int) -> None:
-        """Read the renewals from before the start."""
+        """Read the renewals that were written before the start."""
         try:
             from_offset = max(0, end_offset - _HISTORY_RECORDS)
             page = await self._store.read(self._stream, from_offset)
         except StoreTrimmedError:
-            # Nothing can be shown of the last start then, and its claims stay claimed.
+            # Without renewals nothing can be proven of the previous start; its claims remain.
             return
         renewals = [record for record in page.records if is_renewal(record)]
         self._apply(tuple(r for r in renewals if r.offset < end_offset))
@@ -306,7 +307,7 @@
             try:
                 decoded = decode(record)
             except ValueError as error:
-                # Every reader skips it alike, so all keep the same table.
+                # Every reader skips the same records, so all tables stay equal.
                 emit(Event.RECORD_SKIPPED, offset=record.offset, error=str(error))
                 continue
             if isinstance(decoded, Renewal):
@@ -315,7 +316,7 @@
                 self.book.table.put(decoded, now_s)
 
     async def _append(self, claims: tuple[Claim, ...], records: tuple[KeyedRecord, ...]) -> bool:
-        """Write claims; return False if another writer came first."""
+        """Append claims; return False if another writer appended first."""
         doubt = self.book.begin(claims)
         self._sent_s = self._clock.boot_s()
         self.succession.sending(self._clock.monotonic_s())
@@ -346,7 +347,7 @@
             emit(event, offset=offset, holder=claims[0].holder, claims=told)
 
     def _told(self, claim: Claim) -> dict[str, int]:
-        """Return a claim, and for one's own also what was used of it, for its log line."""
+        """Return the log fields of a claim; an own claim also has what was used of it."""
         told = {
             "claimed": claim.claimed_tokens,
             "base": claim.base_tokens,
@@ -364,16 +365,16 @@
     def _plan(self) -> tuple[Claim, ...]:
         prepaid = self.prepaid()
         planned = [self._plan_one(budget, tokens) for budget, tokens in prepaid.items()]
-        # Guards the promise itself: whatever the policy wants, no claim goes out that does not
-        # fit, so a fault of the policy costs refusals and never tokens that nobody paid for.
+        # No claim that exceeds the prepaid total is written, so a fault of the policy can cause
+        # refusals but no overspending.
         planned += self.succession.reclaimed(self.book.table)
         return tuple(c for c in planned if c is not None and self.book.fits((c,), prepaid))
 
     def update_opening(self) -> None:
-        """Allow to spend as much as the time out of touch with the store allows.
+        """Set how much of the claims may be spent, by the time since the last append was sent.
 
-        The clock counts suspension: a process that was suspended has been out of touch, too. An
-        append that was sent counts as in touch, answered or not: it may be in the store.
+        The boot clock is used since it counts the time in which a process was suspended. An append
+        without an answer counts as well: it may be in the store.
         """
         self._open(opening_after(self._clock.boot_s() - self._sent_s))
 
@@ -383,7 +384,7 @@
         self.book.open(opening)
 
     def unlocks_in_s(self) -> float:
-        """Return how long until claims may be spent past their windows."""
+        """Return the seconds until claims may be spent past their windows."""
         return max(0.0, UNLOCK_S - (self._clock.boot_s() - self._sent_s))
 
     def _renewal(self) -> Renewal:
@@ -423,7 +424,7 @@
         return claim if wanted is not None or self._is_news(claim) else None
 
     def _is_news(self, claim: Claim) -> bool:
-        """Return whether others should hear of spend and demand, for their fair shares."""
+        """Return whether other claimants need the claim's new values for their fair shares."""
         if self.book.doubts:
             return True
         written = self.book.table.claims[claim.budget].get(claim.holder)
