--- a/mothstand/gateway/accounts.py
+++ b/mothstand/gateway/accounts.py
@@ -259,7 +259,7 @@
         ]
 
     async def run(self) -> None:
-        """Keep claims filled until cancelled."""
+        """Update claims, retry unconfirmed loans and give back unused tokens until cancelled."""
         try:
             async with anyio.create_task_group() as tasks:
                 self._tasks = tasks
@@ -339,7 +339,7 @@
         return Refusal(ErrorKind.BUDGET_OUT_OF_REACH, detail, retry_after_s=come_back_s)
 
     def settle(self, reservation: Reservation, usage: Usage) -> None:
-        """End a reservation with what its request consumed."""
+        """End a reservation with the tokens that its request consumed."""
         shard = self.shard_of(reservation.budget)
         shard.keeper.settle(reservation, usage)
         shard.announce()
--- a/mothstand/gateway/claim_keeper.py
+++ b/mothstand/gateway/claim_keeper.py
@@ -188,7 +188,7 @@
         return spent + self.book.of(budget).recorded_spent_tokens
 
     def settle(self, reservation: Reservation, usage: Usage) -> None:
-        """End a reservation with what its request consumed."""
+        """End a reservation with the tokens that its request consumed."""
         held = self.book.of(reservation.budget)
         spent = held.settle(reservation, usage)
         if not self.is_claimant:
--- a/mothstand/gateway/ledger_records.py
+++ b/mothstand/gateway/ledger_records.py
@@ -1,4 +1,4 @@
-"""Claims and announcements of instances as records of the store."""
+"""Encodes and decodes claims and renewals of instances as records of the store."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class _ClaimValue(BaseModel):
-    """A claim's value; the key only has to be its own."""
+    """Value of a claim's record; the record's key only has to be unique."""
 
     budget: str
     instance: str
@@ -37,7 +37,7 @@
 
 
 class _InstanceValue(BaseModel):
-    """An instance's latest start, where its peers reach it, and when it last wrote this."""
+    """Value of a renewal: an instance's latest start, its address and the time of writing."""
 
     instance: str
     incarnation: str
@@ -46,7 +46,7 @@
 
 
 def claims_stream(shard: Shard) -> Stream:
-    """Return where a shard's claims stand."""
+    """Return the stream of a shard's claims."""
     return Stream(CLAIMS_TOPIC, shard)
 
 
@@ -85,12 +85,12 @@
 
 
 def decode(record: KeyedRecord) -> Claim | Renewal:
-    """Return what a record of the topic says.
+    """Return the claim or renewal of a record.
 
     Raises
     ------
     ValueError
-        Naming the key and what is wrong.
+        If the record is invalid; the message has its key.
     """
     try:
         if is_renewal(record):
--- a/mothstand/gateway/lending.py
+++ b/mothstand/gateway/lending.py
@@ -1,4 +1,4 @@
-"""Calls between instances: loans of tokens, and what a fresh process needs to know."""
+"""Calls between instances: loans of tokens and the bootstrap state of a starting process."""
 
 from __future__ import annotations
 
@@ -26,37 +26,37 @@
     from grpclib.protocol import H2Protocol
     from grpclib.server import Stream
 
-#: A peer in the same region answers within a few milliseconds; a waiting request can spare this.
+#: A peer in the same region answers within a few milliseconds; a waiting request can afford this.
 LOAN_TIMEOUT_S = 0.25
 KNOWLEDGE_TIMEOUT_S = 0.6
 
-#: The reader of registrations takes nothing from the store while it asks; a peer that lives answers
-#: within milliseconds.
+#: Registrations are not read from the store during this call; a live peer answers within
+#: milliseconds.
 WITNESS_TIMEOUT_S = 0.25
 
-#: A connection to a peer is tried for this long: longer than packets wait on a full link, and less
-#: than the second after which the first lost packet of a new connection is sent again.
+#: Maximum duration of a connection attempt: longer than packets wait on a full link, and shorter
+#: than the 1 s after which the first lost packet of a new connection is sent again.
 CONNECT_MOST_S = 0.8
 
 
 @dataclass(frozen=True, slots=True)
 class LoanRequest:
-    """What an instance asks of another.
+    """Request for a loan of tokens.
 
     Parameters
     ----------
     priority
-        Of the requests that wait; the lender keeps what its own more urgent ones will need.
+        Priority of the waiting requests; the lender withholds tokens for higher priorities.
     needed_tokens
-        For requests that wait.
+        Tokens for waiting requests.
     extra_tokens
-        Welcome on top.
+        Tokens that are useful but not needed yet.
     loan_id
         Repeated calls with the same id move tokens once.
     borrows_only
-        The borrower does not claim from the store; the lender is to do so for it.
+        Whether the borrower does not claim from the store, so that the lender claims for it.
     spent_tokens
-        Spent by a borrower that claims nothing, since it last said so.
+        Spend that a borrower without claims has not reported yet.
     """
 
     budget: BudgetName
@@ -70,14 +70,14 @@
 
 @dataclass(frozen=True, slots=True)
 class LoanReply:
-    """What a lender answers.
+    """Answer of a lender to a loan request.
 
     Parameters
     ----------
     spent_tokens
-        Surely spent of the budget by all; the truth is this or more.
+        Confirmed spend of the budget by all instances: a lower bound of what was spent.
     holdings
-        Who else holds some of it, most first; None if the lender does not know.
+        Holdings of other instances, largest first; None if the lender does not know them.
     """
 
     given_tokens: int
@@ -87,12 +87,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Handover:
-    """Tokens that an instance which stops leaves to another.
+    """Tokens that an instance moves to a peer, at a stop or to return a loan.
 
     Parameters
     ----------
     tokens
-        Taken out of what it holds before it says so; should the call fail they are nobody's.
+        Deducted by the sender before the call; if the call has no answer, they may be lost.
     loan_id
         Repeated calls with the same id move tokens once.
     """
@@ -104,12 +104,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Knowledge:
-    """What an instance knows, in the store's own form.
+    """State that a starting instance gets from a peer, in the format of the store.
 
     Parameters
     ----------
     ends
-        Of upstreams under requests.
+        Crashes of upstreams during requests, and probes.
     """
 
     config: bytes
@@ -128,22 +128,22 @@
         Raises
         ------
         PeerError
-            If it did not answer; it may have given them.
+            If it did not answer; it may have lent them.
         """
 
     @abstractmethod
     async def hand_over(self, address: str, handover: Handover) -> None:
-        """Leave tokens to a peer.
+        """Move tokens to a peer.
 
         Raises
         ------
         PeerError
-            If it did not answer; it may have taken them.
+            If it did not answer; it may have added them.
         """
 
     @abstractmethod
     async def knowledge(self, address: str) -> Knowledge:
-        """Return what a peer knows.
+        """Return the state that a peer has of configuration, upstreams, members and quarantine.
 
         Raises
         ------
@@ -153,7 +153,7 @@
 
     @abstractmethod
     async def registrations_followed_s(self, address: str) -> float:
-        """Return for how long a peer has read the upstreams' registrations without a gap.
+        """Return the seconds for which a peer has read the registrations without a gap.
 
         Raises
         ------
@@ -163,12 +163,12 @@
 
     @abstractmethod
     async def tell_ends(self, address: str, ends: tuple[KeyedRecord, ...]) -> None:
-        """Tell a peer of upstreams that ended under requests.
+        """Send records of the quarantine to a peer.
 
         Raises
         ------
         PeerError
-            If it did not answer; it may know them now.
+            If it did not answer; it may have applied them.
         """
 
     @abstractmethod
@@ -177,27 +177,27 @@
 
 
 class _LingeringChannel(Channel):
-    """A channel that goes on connecting after a call has given up waiting for it.
+    """Channel whose connection attempt continues after a call has timed out.
 
-    On a full link a connection takes longer than a call may: were it closed with the call, the
-    next one would begin anew, and none would ever come about.
+    On a full link connecting takes longer than the timeout of a call. If each call cancelled its
+    attempt, no connection would ever be established.
     """
 
     _attempt: asyncio.Task[H2Protocol] | None = None
 
-    #: Whether there ever was a connection; before, no call can have sent anything.
+    #: Whether a connection was ever established; before that, no call can have sent anything.
     has_connected = False
 
     async def __connect__(self) -> H2Protocol:
-        """Return the connection, waiting for the attempt that is under way if there is one.
+        """Return the connection, waiting for the running attempt if there is one.
 
-        An attempt ends by itself only. Cancelled by one call, it would cancel all that wait for it,
-        and the whole program with them, which takes that for its own end.
+        No call may cancel the attempt: that would cancel all calls that wait for it, and with them
+        the whole program.
         """
         if self._attempt is None or self._attempt.done():
             connecting = asyncio.wait_for(super().__connect__(), CONNECT_MOST_S)
             self._attempt = asyncio.create_task(connecting)
-            # Whoever waits is told; if nobody does any more, nobody needs to know.
+            # Waiting calls get the exception; without any, it can be ignored.
             self._attempt.add_done_callback(_take_failure)
         protocol = await asyncio.shield(self._attempt)
         self.has_connected = True
@@ -205,11 +205,11 @@
 
     @property
     def connects_still(self) -> bool:
-        """Whether it is connecting."""
+        """Whether a connection attempt is running."""
         return self._attempt is not None and not self._attempt.done()
 
     def close(self) -> None:
-        """Close the connection, also one that is still to come about."""
+        """Close the connection; a running attempt is closed when it ends."""
         if self._attempt is not None and not self._attempt.done():
             self._attempt.add_done_callback(lambda _: Channel.close(self))
         super().close()
@@ -225,8 +225,8 @@
 
     Notes
     -----
-    An open connection may go silent for good without a reset while new ones work, so a channel
-    on which a call had no answer is closed, and the next call opens another one.
+    An open connection may stop responding for good, without a reset, while new ones work. So a
+    channel on which a call had no answer is closed, and the next call opens another one.
     """
 
     def __init__(self) -> None:
@@ -269,14 +269,14 @@
         )
 
     async def registrations_followed_s(self, address: str) -> float:
-        """Return for how long a peer has read the upstreams' registrations without a gap."""
+        """Return the seconds for which a peer has read the registrations without a gap."""
         with self._call(address) as stub, anyio.fail_after(WITNESS_TIMEOUT_S):
             reply = await stub.Registrations(pb.RegistrationsRequest())
         return reply.followed_s
 
     async def tell_ends(self, address: str, ends: tuple[KeyedRecord, ...]) -> None:
-        """Tell a peer of upstreams that ended under requests."""
-        # A record without a value takes its key back.
+        """Send records of the quarantine to a peer."""
+        # A record without a value deletes its key.
         told = [pb.StoredRecord(key=r.key, value=r.value or b"") for r in ends]
         with self._call(address) as stub, anyio.fail_after(LOAN_TIMEOUT_S):
             await stub.TellEnds(pb.EndsRequest(ends=told))
@@ -302,18 +302,18 @@
             channel.close()
 
     def failed(self, address: str, channel: _LingeringChannel) -> None:
-        """Note that a call had no answer: its channel is closed unless it still connects."""
+        """Close the channel of a call without an answer, unless it is still connecting."""
         if self._channels.get(address) is channel and not channel.connects_still:
             self._drop(address)
 
 
 class _Call:
-    """Turns failures of one call into `PeerError`, and drops the channel that had them.
+    """Turns failures of one call into `PeerError` and closes the channel that had them.
 
     Notes
     -----
-    Whether anything was sent is asked of the very channel of the call. By now another call may have
-    replaced it, and tokens that arrived through the old one would be taken for kept.
+    The call keeps its channel to know whether anything was sent. Another call may have replaced
+    the link's channel by then, and tokens that the peer got would be taken for unsent.
     """
 
     def __init__(self, link: GrpcPeerLink, address: str) -> None:
@@ -333,7 +333,7 @@
 
 
 class LendingService(LendingBase):
-    """What an instance serves to others."""
+    """Serves the calls of other instances."""
 
     def __init__(
         self,
@@ -350,7 +350,7 @@
         self._registrations_followed_s = registrations_followed_s
 
     async def Lend(self, stream: Stream[pb.LoanRequest, pb.LoanReply]) -> None:  # noqa: N802
-        """Move tokens to the caller."""
+        """Lend tokens to the caller."""
         message = await stream.recv_message()
         if message is None:
             return
@@ -378,7 +378,7 @@
     async def TakeOver(  # noqa: N802
         self, stream: Stream[pb.TakeOverRequest, pb.TakeOverReply]
     ) -> None:
-        """Take the tokens of a caller that stops."""
+        """Add tokens that the caller hands over."""
         message = await stream.recv_message()
         if message is None:
             return
@@ -388,7 +388,7 @@
     async def Knowledge(  # noqa: N802
         self, stream: Stream[pb.KnowledgeRequest, pb.KnowledgeReply]
     ) -> None:
-        """Tell what this instance knows."""
+        """Send the bootstrap state to the caller."""
         await stream.recv_message()
         known = self._knowledge()
         reply = pb.KnowledgeReply(
@@ -402,7 +402,7 @@
     async def Registrations(  # noqa: N802
         self, stream: Stream[pb.RegistrationsRequest, pb.RegistrationsReply]
     ) -> None:
-        """Tell for how long this instance has read the registrations without a gap."""
+        """Send the seconds for which this instance has read the registrations without a gap."""
         await stream.recv_message()
         await stream.send_message(
             pb.RegistrationsReply(followed_s=self._registrations_followed_s())
@@ -411,7 +411,7 @@
     async def TellEnds(  # noqa: N802
         self, stream: Stream[pb.EndsRequest, pb.EndsReply]
     ) -> None:
-        """Take the ends of upstreams that a caller could not tell the store."""
+        """Apply quarantine records that the caller could not write to the store."""
         message = await stream.recv_message()
         if message is None:
             return
@@ -420,7 +420,7 @@
 
 
 async def serve_peers(service: LendingService, address: str) -> Server:
-    """Listen for other instances."""
+    """Start a server for the calls of other instances."""
     server = Server([service])
     target = Address.parse(address)
     await server.start(target.host, target.port)
--- a/mothstand/gateway/member_feed.py
+++ b/mothstand/gateway/member_feed.py
@@ -1,4 +1,4 @@
-"""Announces this instance in the store, and follows the announcements of the others."""
+"""Announces this instance in the store and follows the announcements of other instances."""
 
 from __future__ import annotations
 
@@ -25,20 +25,20 @@
 #: The fleet's own topic for announcements.
 MEMBERS_STREAM = Stream("keyed.mothstand-instances")
 
-#: Seconds from the first look to the second: all instances of a new fleet start within 0.3 s, and
-#: until they know each other each would claim as if it were alone.
+#: Seconds from the first poll to the second. All instances of a new fleet start within 0.3 s, and
+#: until they know each other, each would claim as if it were alone.
 _SECOND_LOOK_S = 0.6
 
 
-#: Of an announcement that does not say.
+#: Capacity for announcements without these fields.
 _UNKNOWN_CAPACITY = Capacity()
 
-#: Of an earlier version, which uses a part of the burst for as long as it lives.
+#: Notice for announcements of an earlier version, which uses a share of the burst while it runs.
 _UNKNOWN_NOTICE = SharerNotice(read_to=-1, lease_s=60.0, may_have_used=True)
 
 
 class _MemberValue(BaseModel):
-    """An announcement; its key is the instance's name."""
+    """Value of an announcement; the record's key is the instance's name."""
 
     incarnation: str
     address: str
@@ -67,19 +67,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Announcement:
-    """What an instance says of itself."""
+    """Announcement of an instance: its member data and its notice as a sharer."""
 
     member: Member
     notice: SharerNotice
 
 
 def decode_member(record: KeyedRecord) -> Announcement:
-    """Return what an announcement says.
+    """Return the announcement of a record.
 
     Raises
     ------
     ValueError
-        Naming the key and what is wrong.
+        If the record is invalid; the message has its key.
     """
     try:
         value = _MemberValue.model_validate_json(record.value or b"")
@@ -92,14 +92,14 @@
 
 
 class MemberFeed(KeyedFeed):
-    """The fleet's instances, by their announcements.
+    """Feed of the instances in the fleet.
 
     Parameters
     ----------
     changed
-        Called when instances came or went, and when the fleet is first known.
+        Called when the number of instances changes, and when the fleet is first known.
     started_s
-        When this process began, on the monotonic clock.
+        Start of this process on the monotonic clock.
     """
 
     def __init__(
@@ -128,7 +128,7 @@
 
     @property
     def is_settled(self) -> bool:
-        """Whether enough was read to tell who claims."""
+        """Whether enough announcements have been read to determine the claimants."""
         return self._settled
 
     @property
@@ -138,14 +138,14 @@
 
     @property
     def wait_s(self) -> float:
-        """Seconds that a read waits at the store for a record."""
+        """Seconds for which the store holds a read until there is a record."""
         return 0.0
 
     async def look(self) -> None:
-        """Read once and announce this instance.
+        """Read once, then announce this instance.
 
-        In this order: an announcement replaces that of an earlier start, by which a restarted
-        instance knows that the fleet is listed already.
+        The announcement replaces that of an earlier start, by which a restarted instance knows
+        that the whole fleet is listed, so it has to be read first.
         """
         await super().look()
         await self._announce()
@@ -155,7 +155,7 @@
             self._settle()
 
     async def _announce(self) -> None:
-        """Announce this instance, and along with it who has left the fleet."""
+        """Announce this instance, and delete the announcements of expired instances."""
         now_s = self._clock.monotonic_s()
         read_to = self._next_offset or 0
         self.shares.read(read_to, now_s, self.fleet.announce_s)
@@ -167,7 +167,8 @@
             at_offset = read_to if is_ordered else None
             await self._store.append(self._stream, (mine, *retired), at_offset=at_offset)
         except StoreConflictError:
-            # Others announced themselves meanwhile; what needs the order has time until next time.
+            # Another instance appended in the meantime. Deletions, and the notice if it must be
+            # ordered, wait for the next announcement.
             await self._store.append(self._stream, (mine,))
             if self.shares.must_follow(now_s):
                 return
@@ -180,16 +181,16 @@
             emit(Event.BURST_SHARED, sharers=sharers, fleet=self.fleet.size)
 
     def list(self, records: tuple[KeyedRecord, ...]) -> None:
-        """Take the newest announcement of each instance."""
+        """Apply the newest announcement of each instance."""
         mine = self.fleet.me.peer
         self.shares.keep_only({record.key for record in records if record.value is not None})
         self.apply(records)
         if self._looks == 0 and any(r.key == mine.instance for r in records):
-            # Announced by an earlier start: the fleet is listed already.
+            # An earlier start of this instance announced itself, so the whole fleet is listed.
             self._settle()
 
     def apply(self, records: tuple[KeyedRecord, ...]) -> None:
-        """Take later announcements, in order."""
+        """Apply later announcements, in order."""
         now_s = self._clock.monotonic_s()
         before = self.fleet.size
         for record in records:
@@ -206,14 +207,14 @@
             self._changed()
 
     def offer(self, records: tuple[KeyedRecord, ...]) -> None:
-        """Take announcements that a peer knows, at a start while the store is out."""
+        """Apply a peer's announcements if the store has not been read yet; see `is_listed`."""
         if not self.is_listed:
             for record in records:
                 self._take(record, self._clock.monotonic_s())
         self._settle()
 
     def known(self) -> tuple[KeyedRecord, ...]:
-        """Return the announcements of all instances that are known, this one's included."""
+        """Return the announcements of all known instances, this one included."""
         return tuple(encode_member(m) for m in (*self.fleet.others(), self.fleet.me))
 
     def _take(self, record: KeyedRecord, now_s: float) -> Announcement | None:
