--- a/mothstand/gateway/bootstrap.py
+++ b/mothstand/gateway/bootstrap.py
@@ -1,4 +1,4 @@
-"""What a process that starts while the store is away learns from its peers."""
+"""Gets the state of a starting instance from peers while the store is unreachable."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
     from .quarantine_feed import QuarantineFeed
     from .upstream_feed import UpstreamFeed
 
-#: Seconds that the store has to give a first configuration before peers are asked.
+#: Seconds to wait for the first configuration from the store before peers are asked.
 _STORE_FIRST_S = 0.8
 
-#: Seconds between two rounds of asking.
+#: Seconds between two rounds of requests to all known addresses.
 _ROUND_S = 0.5
 
 
 class Bootstrap:
-    """Asks seeds, and the peers that they name, until there is a configuration.
+    """Asks seeds, and the peers that they report, until there is a configuration.
 
     Notes
     -----
-    Without it, a process that is restarted in an outage of the store refuses all requests until
-    the outage ends, though its neighbours serve.
+    Otherwise an instance that restarts in a store outage would refuse all requests until the
+    outage ends, although its peers serve theirs.
     """
 
     def __init__(
@@ -54,7 +54,7 @@
         self._clock = clock
 
     async def run(self) -> None:
-        """Ask until there is a configuration."""
+        """Ask peers until there is a configuration."""
         await self._clock.sleep(_STORE_FIRST_S)
         while self._config.config is None:
             for address in tuple(self._addresses):
--- a/mothstand/gateway/feeds.py
+++ b/mothstand/gateway/feeds.py
@@ -1,4 +1,4 @@
-"""Follows keyed streams of the store; the operators' configuration is one of them."""
+"""Follows keyed streams of the store, among them the operators' configuration."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
     from ..core.routes import GatewayConfig
     from ..log.health import LogHealth
 
-#: Longest wait of a read for a new configuration. The store answers at once when there is one; a
-#: shorter wait only notices sooner that a connection went silent.
+#: Maximum wait of a read for a new configuration. The store answers at once when there is one; a
+#: shorter wait would only detect an unresponsive connection sooner.
 CONFIG_WAIT_S = 1.5
 
-#: A stream that cannot be read for this long is told as behind.
+#: A stream that cannot be read for this time is logged as behind.
 BEHIND_AFTER_S = 2.0
 
 _BACKOFF_FIRST_S = 0.1
@@ -28,19 +28,19 @@
 
 
 class KeyedFeed(ABC):
-    """Keeps up with one keyed stream: a listing first, then what comes after it.
+    """Follows one keyed stream: first a listing, then the records after it.
 
     Attributes
     ----------
     is_listed
-        Whether the store itself has told what there is. From then on what peers know is not taken:
-        it may be older, and what has ended since would never be ended here.
+        Whether the stream was listed from the store. After that, records from peers are ignored:
+        they may be older, and keys that were deleted since would never be deleted here.
     """
 
-    #: Whether a failed read is followed by a listing, and not by what was missed since.
+    #: Whether a failed read is followed by a listing instead of reading the missed records.
     lists_after_failure = False
 
-    #: Longest pause after a failed read, before jitter.
+    #: Maximum pause after a failed read, before jitter.
     backoff_most_s = _BACKOFF_MOST_S
 
     def __init__(self, store: Store, stream: Stream, clock: Clock, health: LogHealth) -> None:
@@ -72,7 +72,7 @@
                 await self._clock.sleep(backoff.jittered_s())
 
     def _failed(self, error: StoreError) -> None:
-        """Say once that this stream is behind, also while others can be read."""
+        """Log once that this stream is behind, also while other streams can be read."""
         now_s = self._clock.monotonic_s()
         if self._failing_since_s is None:
             self._failing_since_s = now_s
@@ -103,12 +103,12 @@
         self._next_offset = page.next_offset
 
     async def _read(self, from_offset: int) -> StreamPage:
-        # After a failure without a wait, so that the store's return shows at once.
+        # No wait after a failure, so that the store's return is noticed at once.
         wait_s = 0.0 if self._health.is_failing else self.wait_s
         return await self._store.read(self._stream, from_offset, wait_s=wait_s)
 
     async def answered(self) -> None:  # noqa: B027 - most feeds have nothing to note
-        """Note that the store answered, before what it said is taken."""
+        """Note that the store answered; called before the records are applied."""
 
     @property
     @abstractmethod
@@ -118,31 +118,31 @@
     @property
     @abstractmethod
     def wait_s(self) -> float:
-        """Seconds that a read waits at the store for a record."""
+        """Seconds for which the store holds a read until there is a record."""
 
     @abstractmethod
     def list(self, records: tuple[KeyedRecord, ...]) -> None:
-        """Take the newest record of each key."""
+        """Apply the newest record of each key."""
 
     @abstractmethod
     def apply(self, records: tuple[KeyedRecord, ...]) -> None:
-        """Take later records, in order."""
+        """Apply later records, in order."""
 
 
 class ConfigFeed(KeyedFeed):
-    """The operators' configuration: the newest valid version, which never goes back.
+    """Feed of the operators' configuration: the newest valid version, never an older one.
 
     Parameters
     ----------
     decode
         Turns a record's value into a configuration, or raises `ValueError`.
     in_force
-        Called with each version that is put in force.
+        Called with each version that takes effect.
 
     Notes
     -----
-    After a failed read only the newest version is fetched. Thirty versions of 60 kB, as they
-    gather in an outage, take a link of 5 Mbit/s three seconds, one a tenth of a second.
+    After a failed read only the newest version is fetched. Thirty versions of 60 kB, which may
+    accumulate in an outage, take 3 s on a link of 5 Mbit/s; one takes 0.1 s.
     """
 
     lists_after_failure = True
@@ -166,31 +166,31 @@
 
     @property
     def pause_s(self) -> float:
-        """Seconds between two reads: none, the store holds the read until there is news."""
+        """Seconds between two reads: zero, the store holds the read until there is a record."""
         return 0.0
 
     @property
     def wait_s(self) -> float:
-        """Seconds that a read waits at the store for a record."""
+        """Seconds for which the store holds a read until there is a record."""
         return CONFIG_WAIT_S
 
     def list(self, records: tuple[KeyedRecord, ...]) -> None:
-        """Take the newest record of each key."""
+        """Apply the newest record of each key."""
         self.apply(records)
 
     def apply(self, records: tuple[KeyedRecord, ...]) -> None:
-        """Take later records, in order."""
+        """Apply later records, in order."""
         for record in records:
             if record.key == self._key and record.value is not None:
                 self.offer(record)
 
     def offer(self, record: KeyedRecord) -> None:
-        """Put a configuration in force if it is valid and later than the one that is."""
+        """Apply a configuration if it is valid and newer than the current one."""
         raw = record.value or b""
         try:
             config = self._decode(raw)
         except ValueError as error:
-            # The last good one stays in force.
+            # The last valid configuration stays in force.
             emit(Event.RECORD_SKIPPED, key=record.key, offset=record.offset, error=str(error))
             return
         if self.config is not None and config.version <= self.config.version:
--- a/mothstand/gateway/instance.py
+++ b/mothstand/gateway/instance.py
@@ -1,4 +1,4 @@
-"""One gateway instance: what belongs together, its start and its stop."""
+"""Builds, runs and stops one gateway instance."""
 
 from __future__ import annotations
 
@@ -48,18 +48,18 @@
     from .headers import HeaderTranslator
     from .platform_parts import PlatformParts
 
-#: Seconds between two looks at whether a stop is over.
+#: Seconds between two checks whether a stop is over.
 _STOP_LOOK_S = 0.1
 
-#: Seconds that requests get to end when the process must; the library's own minute would outlast
-#: the grace, and the process would be killed with its claims held.
+#: Seconds in which requests may still end when the process has to. With the library's default of
+#: a minute, the grace period would end first and the process be killed with its claims held.
 _CUT_AFTER_S = 0.2
 
 _RESTART_TASK_S = 0.2
 
 
 class GatewayInstance:
-    """Serves until SIGTERM."""
+    """A gateway instance that serves until SIGTERM."""
 
     def __init__(
         self, settings: GatewaySettings, parts: PlatformParts, clock: Clock, started: ProcessStart
@@ -208,8 +208,8 @@
             tasks.start_soon(self._keep, "upstream ends", self._ends.run)
             tasks.start_soon(self._keep, "quarantine", self._quarantine_feed.run)
             await self._wait_for_stop()
-            # Requests first: what still runs counts at its most, and a claim that was lowered
-            # before their end would keep the rest from everyone.
+            # Requests have to end before claims are lowered: running requests count with their
+            # maximum, and the unused part of it would stay claimed.
             await runner.cleanup()
             tasks.cancel_scope.cancel()
         await self._accounts.leave(until_s=self._shutdown.ends_s)
@@ -222,7 +222,7 @@
         emit(Event.INSTANCE_STOPPED, instance=self._me.instance, still_claimed=unused)
 
     async def _keep(self, name: str, work: Callable[[], Awaitable[None]]) -> None:
-        """Run a task, and start it again should it fail: the instance serves on without it."""
+        """Run a task and restart it if it fails; meanwhile the instance serves without it."""
         while True:
             try:
                 await work()
@@ -252,24 +252,25 @@
             await self._clock.sleep(_STOP_LOOK_S)
 
     async def _check(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answer the readiness check, and give metrics under any other path."""
+        """Answer paths that contain `metrics` with the metrics, and others with readiness."""
         if "metrics" in request.path:
             return web.Response(text=self._metrics.text())
         ready = self._can_serve() and not self._shutdown.is_stopping
         return web.Response(status=200 if ready else 503)
 
     def _can_serve(self) -> bool:
-        """Return whether callers get more than refusals, as far as can be known now.
+        """Return whether requests can be served, as far as this is known now.
 
-        Before it knows the fleet, an instance neither claims nor knows whom to ask for tokens.
-        While the store is out there is no telling when that comes, and some routes need none.
+        Before it knows the fleet, an instance neither claims tokens nor knows which peers lend
+        them. This is not waited for while the store is unreachable: the wait is unbounded, and some
+        routes need no tokens.
         """
         knows_fleet = self._members.is_settled or self._health.is_failing
         knows_upstreams = self._upstream_feed.is_listed or self._health.is_failing
         return self._config() is not None and knows_fleet and knows_upstreams
 
     def _knowledge(self) -> Knowledge:
-        """Return what a process that starts while the store is out needs to know."""
+        """Return the state that an instance needs to start while the store is unreachable."""
         return Knowledge(
             self._config_feed.raw,
             self._upstream_feed.raw_records(),
@@ -281,7 +282,7 @@
         return self._config_feed.config
 
     def _config_in_force(self, config: GatewayConfig) -> None:
-        # Once for each configuration: every reservation looks at the totals.
+        # Computed once per configuration since every reservation needs the totals.
         self._prepaid_tokens = {
             BudgetName(w.name): w.prepaid_tokens
             for w in config.workspaces.values()
@@ -294,7 +295,7 @@
 
 
 def _retry_settings(settings: GatewaySettings) -> RetryBudgetSettings:
-    """Return the fleet's retry budget; a send ends when its timeouts have passed."""
+    """Return the fleet's retry budget; a request is sent for at most the sum of its timeouts."""
     retries = settings.retries
     timing = settings.timing
     delivery_s = timing.connect_timeout_s + timing.upstream_timeout_s
--- a/mothstand/gateway/lending.py
+++ b/mothstand/gateway/lending.py
@@ -109,7 +109,7 @@
     Parameters
     ----------
     ends
-        Crashes of upstreams during requests, and probes.
+        Records of upstream crashes during requests.
     """
 
     config: bytes
@@ -250,7 +250,7 @@
         return LoanReply(reply.given_tokens, reply.spent_tokens, known)
 
     async def hand_over(self, address: str, handover: Handover) -> None:
-        """Leave tokens to a peer."""
+        """Move tokens to a peer."""
         message = pb.TakeOverRequest(
             budget=handover.budget, tokens=handover.tokens, loan_id=handover.loan_id
         )
@@ -258,7 +258,7 @@
             await stub.TakeOver(message)
 
     async def knowledge(self, address: str) -> Knowledge:
-        """Return what a peer knows."""
+        """Return the state that a peer has of configuration, upstreams, members and quarantine."""
         with self._call(address) as stub, anyio.fail_after(KNOWLEDGE_TIMEOUT_S):
             reply = await stub.Knowledge(pb.KnowledgeRequest())
         return Knowledge(
--- a/mothstand/gateway/store.py
+++ b/mothstand/gateway/store.py
@@ -1,4 +1,4 @@
-"""The platform's store as the gateway sees it: keyed and plain streams with conditional appends."""
+"""Interface of the platform's store: keyed and plain streams with conditional appends."""
 
 from __future__ import annotations
 
@@ -7,24 +7,24 @@
 
 
 class StoreError(Exception):
-    """The store did not do what was asked; nothing was done."""
+    """The store did not execute the call; nothing was changed."""
 
 
 class StoreSilentError(StoreError):
-    """No answer came: an append may be done, or may still be done seconds later."""
+    """The store did not answer: an append may be done, now or seconds later."""
 
 
 class StoreConflictError(StoreError):
-    """The stream has grown past the condition of an append."""
+    """The stream has grown past the offset that an append required."""
 
 
 class StoreTrimmedError(StoreError):
-    """The records asked for are not kept any more; read the newest of each key."""
+    """The requested records are no longer retained; read the newest of each key instead."""
 
 
 @dataclass(frozen=True, slots=True)
 class KeyedRecord:
-    """A record of a keyed stream; no value drops the key."""
+    """A record of a keyed stream; a record without a value deletes its key."""
 
     key: str
     value: bytes | None
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamPage:
-    """Records of a stream in order, and where to read on."""
+    """Records of a stream in order, and the offset to continue from."""
 
     records: tuple[KeyedRecord, ...]
     next_offset: int
@@ -48,21 +48,21 @@
 
 
 class Store(ABC):
-    """Reads and appends; every call raises `StoreError` or one of its kinds."""
+    """Reads and appends records; every call may raise `StoreError` or a subclass."""
 
     @abstractmethod
     async def append(
         self, stream: Stream, records: tuple[KeyedRecord, ...], *, at_offset: int | None = None
     ) -> None:
-        """Append all records or none; with an offset, only if the stream ends there."""
+        """Append all records or none; with `at_offset`, only if the stream ends there."""
 
     @abstractmethod
     async def read(self, stream: Stream, from_offset: int, *, wait_s: float = 0.0) -> StreamPage:
-        """Return records from an offset on, waiting for the first one."""
+        """Return records from an offset on, waiting up to `wait_s` for the first one."""
 
     @abstractmethod
     async def newest(self, stream: Stream) -> StreamPage:
-        """Return the newest record of each key, and the end from before the listing began."""
+        """Return the newest record of each key, and the stream's end before the listing began."""
 
     @abstractmethod
     async def aclose(self) -> None:
--- a/mothstand/gateway/store_witness.py
+++ b/mothstand/gateway/store_witness.py
@@ -1,4 +1,4 @@
-"""Whether the store was up while it did not answer here."""
+"""Determines whether the store was up while this instance could not reach it."""
 
 from __future__ import annotations
 
@@ -16,32 +16,31 @@
     from .lending import PeerLink
     from .member_feed import MemberFeed
 
-#: Peers that are asked at once, however large the fleet. One that followed the store is enough;
-#: with half of the fleet cut off alike, one in sixteen instances finds none, and takes it for an
-#: outage.
+#: Peers that are asked at once, at any size of the fleet. One that could read the store is enough.
+#: With half of the fleet cut off, one in sixteen instances finds none and assumes an outage.
 _ASKED = 4
 
 
 class StoreWitness(ABC):
-    """Knows whether the store was up while it did not answer here."""
+    """Determines whether the store was up while this instance could not reach it."""
 
     @abstractmethod
     async def followed(self, gap_s: float) -> bool:
-        """Return whether the registrations could be read elsewhere all through the last seconds.
+        """Return whether a peer could read the registrations throughout the last `gap_s` seconds.
 
-        False also where nobody can tell.
+        Also False if it is not known.
         """
 
 
 class PeerWitness(StoreWitness):
-    """Asks some peers for how long they have followed the registrations without a gap."""
+    """Asks some peers for how long they have read the registrations without a gap."""
 
     def __init__(self, link: PeerLink, members: MemberFeed) -> None:
         self._link = link
         self._members = members
 
     async def followed(self, gap_s: float) -> bool:
-        """Return whether a peer followed the registrations all through the last seconds."""
+        """Return whether an asked peer read the registrations for the last `gap_s` seconds."""
         others = [member.peer for member in self._members.fleet.others()]
         found = False
 
--- a/mothstand/gateway/upstream_feed.py
+++ b/mothstand/gateway/upstream_feed.py
@@ -18,29 +18,30 @@
     from ..log.health import LogHealth
     from .store_witness import StoreWitness
 
-#: Pause after each read of registrations, lest a release of many upstreams cost a call for each.
+#: Pause after each read of registrations, so that a release of many upstreams does not cost one
+#: call for each of them.
 _GATHER_S = 0.2
 
-#: Longest pause after a failed read, before jitter. Three seconds after its way to the store is
-#: back an instance must act on all that the store has said. Of these a try that hung takes 0.3,
-#: this pause with its jitter 0.3, and 2.2 are the grace for what lapsed in an outage.
+#: Maximum pause after a failed read, before jitter. An instance must act on all records of the
+#: store within 3 s after it can reach it again: up to 0.3 s for an attempt that hangs, 0.3 s for
+#: this pause with jitter, and 2.2 s of grace for registrations that expired in an outage.
 _BACKOFF_MOST_S = 0.2
 
 
 class UpstreamFeed(KeyedFeed):
-    """The upstreams' registrations.
+    """Feed of the upstreams' registrations.
 
     Parameters
     ----------
     wait_s
-        How long a read waits for news: well below `upstreams.OUTAGE_AFTER_S`, since a longer time
-        without an answer counts as an outage of the store.
+        Time for which the store holds a read until there is a record. Well below
+        `upstreams.OUTAGE_AFTER_S`: a longer time without an answer counts as a store outage.
     decode
         Turns an id and a record's value into a registration, or raises `ValueError`.
     gone
-        Called with each upstream that has gone, or has started again.
+        Called with each upstream that was deregistered or has restarted.
     witness
-        Tells whether the store was up while it did not answer here.
+        Determines whether the store was up while this instance could not reach it.
     """
 
     backoff_most_s = _BACKOFF_MOST_S
@@ -73,11 +74,11 @@
             await super().run()
 
     def followed_s(self) -> float:
-        """Return for how long the registrations have been read without a gap, up to now."""
+        """Return the seconds for which the registrations were read without a gap, up to now."""
         return self.directory.followed_s(self._clock.monotonic_s())
 
     async def answered(self) -> None:
-        """Note that the store answered; after a gap, find out whether it was up meanwhile."""
+        """Note that the store answered; after a gap, determine whether it was up during it."""
         now_s = self._clock.monotonic_s()
         gap_s = self.directory.gap_s(now_s)
         store_was_up = gap_s > 0 and await self._witness.followed(gap_s)
@@ -91,16 +92,16 @@
 
     @property
     def pause_s(self) -> float:
-        """Seconds between two reads, in which the changes of many upstreams gather."""
+        """Seconds between two reads, in which changes of many upstreams accumulate."""
         return _GATHER_S
 
     @property
     def wait_s(self) -> float:
-        """Seconds that a read waits at the store for a record."""
+        """Seconds for which the store holds a read until there is a record."""
         return self._wait_s
 
     def list(self, records: tuple[KeyedRecord, ...]) -> None:
-        """Take the newest record of each key."""
+        """Apply the newest record of each key."""
         now_s = self._clock.monotonic_s()
         before = dict(self.directory.known)
         decoded = [u for u in map(self._decoded, records) if u is not None]
@@ -111,7 +112,7 @@
         emit(Event.UPSTREAMS_LISTED, upstreams=addresses)
 
     def apply(self, records: tuple[KeyedRecord, ...]) -> None:
-        """Take later records, in order."""
+        """Apply later records, in order."""
         now_s = self._clock.monotonic_s()
         before = dict(self.directory.known)
         for record in records:
@@ -134,7 +135,7 @@
         self._forget_gone(before)
 
     def _tell_end(self, upstream_id: str, kept_s: float, offset: int | None) -> None:
-        """Tell of a registration's end, and whether requests still go to its upstream."""
+        """Log the end of a registration, and whether its upstream is still used for a grace."""
         if kept_s > 0:
             self._lapsed.set()
             emit(
@@ -147,10 +148,10 @@
             emit(Event.UPSTREAM_LEFT, upstream=upstream_id, offset=offset)
 
     async def _expire_in_time(self) -> None:
-        """Drop upstreams at the very end of their grace.
+        """Drop upstreams when their grace ends.
 
-        Left to the next read, which waits for news, requests would go to one that has left for up
-        to 1.2 s more.
+        The next read, which the store holds, may come up to 1.2 s later, and until then requests
+        would go to a deregistered upstream.
         """
         while True:
             await self._lapsed.wait()
@@ -163,14 +164,14 @@
                 self._forget_gone(before)
 
     def _forget_gone(self, before: dict[str, RegisteredUpstream]) -> None:
-        """Tell of the upstreams that were known before, and are gone or started again since."""
+        """Call `on_removed` for upstreams that were deregistered or have restarted since."""
         for upstream_id, upstream in before.items():
             now = self.directory.known.get(upstream_id)
             if now is None or now.key != upstream.key:
                 self._gone(upstream)
 
     def offer(self, records: tuple[KeyedRecord, ...]) -> None:
-        """Take registrations that a peer knows, until the store's own word replaces them."""
+        """Apply registrations from a peer, unless the store was listed; a listing replaces them."""
         if self.is_listed:
             return
         for upstream in map(self._decoded, records):
@@ -178,7 +179,7 @@
                 self.directory.offer(upstream)
 
     def raw_records(self) -> tuple[KeyedRecord, ...]:
-        """Return the registrations that are in force, as the upstreams wrote them."""
+        """Return the current registrations as the upstreams wrote them."""
         known = self.directory.known
         return tuple(KeyedRecord(i, self._raw[i]) for i in known if i in self._raw)
 
