--- a/mothstand/gateway/claim_keeper.py
+++ b/mothstand/gateway/claim_keeper.py
@@ -68,9 +68,9 @@
     ----------
     prepaid
         Returns the prepaid totals of the shard's budgets.
-    claimants
+    claimant_count
         Returns the number of claimants of the shard, this instance included; 0 if it is not one.
-    changed
+    on_change
         Called when more tokens may be available.
     started_s
         Start of the process on the monotonic clock; the current time if not given.
--- a/mothstand/gateway/feeds.py
+++ b/mothstand/gateway/feeds.py
@@ -136,7 +136,7 @@
     ----------
     decode
         Turns a record's value into a configuration, or raises `ValueError`.
-    in_force
+    on_config
         Called with each version that takes effect.
 
     Notes
--- a/mothstand/gateway/lending.py
+++ b/mothstand/gateway/lending.py
@@ -108,7 +108,7 @@
 
     Parameters
     ----------
-    ends
+    quarantine_records
         Records of upstream crashes during requests.
     """
 
--- a/mothstand/gateway/member_feed.py
+++ b/mothstand/gateway/member_feed.py
@@ -96,7 +96,7 @@
 
     Parameters
     ----------
-    changed
+    on_change
         Called when the number of instances changes, and when the fleet is first known.
     started_s
         Start of this process on the monotonic clock.
--- a/mothstand/gateway/upstream_feed.py
+++ b/mothstand/gateway/upstream_feed.py
@@ -38,7 +38,7 @@
         `upstreams.OUTAGE_AFTER_S`: a longer time without an answer counts as a store outage.
     decode
         Turns an id and a record's value into a registration, or raises `ValueError`.
-    gone
+    on_removed
         Called with each upstream that was deregistered or has restarted.
     witness
         Determines whether the store was up while this instance could not reach it.
--- a/mothstand/tests/test_bootstrap.py
+++ b/mothstand/tests/test_bootstrap.py
@@ -1,4 +1,4 @@
-"""A process that starts while the store is away, and what its peers tell it."""
+"""Tests of an instance that starts in a store outage and gets its state from peers."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
 
 
 class _Peers(SilentPeers):
-    """Peers by address; who is not there does not answer."""
+    """Peers by address; other addresses do not answer."""
 
     def __init__(self, known: dict[str, Knowledge]) -> None:
         self.asked: list[str] = []
@@ -65,7 +65,7 @@
 
 
 class _Starting:
-    """A process that has just started, with its way to the store cut."""
+    """An instance that has just started and is cut off from the store."""
 
     def __init__(self, peers: dict[str, Knowledge], seeds: tuple[str, ...]) -> None:
         clock = VirtualClock()
@@ -115,10 +115,9 @@
 
 class TestBootstrap:
     def test_a_start_in_an_outage_serves_by_what_a_seed_knows(self) -> None:
-        """Symptom: an instance that is restarted in an outage refuses all until its end.
+        """Guards against an instance that refuses all requests if restarted in a store outage.
 
-        Sequence: the store is away, the process starts, its seed runs.
-        Cause: configuration, upstreams and lenders were asked of the store only.
+        Configuration, upstreams and lenders were read from the store only.
         """
         starting = _Starting({"b:1": knowledge(7)}, ("a:1", "b:1"))
         run_in_virtual_time(lambda: starting.run(3.0))
@@ -136,10 +135,9 @@
         assert "a:1" not in starting.peers.asked
 
     def test_a_peer_that_is_behind_does_not_bring_back_what_was_replaced(self) -> None:
-        """Symptom: a dropped route is served again.
+        """Guards against a removed route that is served again.
 
-        Sequence: the store answers with a version; then a peer tells an older one.
-        Cause: the peer's word replaced the store's.
+        A peer's older configuration replaced the one from the store.
         """
         starting = _Starting({}, ())
         starting.config.offer(KeyedRecord(CONFIG_KEY, json.dumps({"version": 9}).encode()))
@@ -148,11 +146,10 @@
         assert starting.config.config.version == 9
 
     def test_members_by_hearsay_after_the_store_was_read(self) -> None:
-        """Symptom: an instance asks dead claimants for tokens, and its callers wait for them.
+        """Guards against loan requests to dead claimants, for which callers wait.
 
-        Sequence: an instance starts and reads the fleet from the store, not yet the configuration;
-        it asks a peer that has been cut off, which still knows instances that have gone.
-        Cause: what peers tell was taken whether or not the store had spoken.
+        An instance read the members from the store but not yet the configuration, asked a peer that
+        was cut off, and applied that peer's expired members.
         """
         starting = _Starting({}, ())
         starting.link.is_cut = False
--- a/mothstand/tests/test_feeds.py
+++ b/mothstand/tests/test_feeds.py
@@ -1,4 +1,4 @@
-"""Keeping up with what operators and upstreams write to the store, through its outages."""
+"""Tests of the configuration and upstream feeds, also after outages of the store."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class _CountingLink(StoreLink):
-    """Counts the records that were read."""
+    """Store link that counts the records read."""
 
     records = 0
 
@@ -41,11 +41,9 @@
 
 class TestConfigFeed:
     def test_after_an_outage_only_the_newest_version_is_fetched(self) -> None:
-        """Symptom: after an outage a machine with a thin link is behind for seconds.
+        """Guards against a slow link that is busy for seconds after a store outage.
 
-        Sequence: the store is away; thirty versions of a large configuration are published; it
-        comes back.
-        Cause: all thirty were fetched one after the other, though only the last one counts.
+        All thirty large versions published in the outage were fetched, though only the last counts.
         """
         store = MemoryStore()
         link = _CountingLink(store)
@@ -77,7 +75,7 @@
 
 
 class _Registrations:
-    """A feed of registrations, and the stream that it follows."""
+    """A feed of registrations and the stream that it follows."""
 
     def __init__(self) -> None:
         self.store = MemoryStore()
@@ -95,12 +93,12 @@
         )
 
     def register(self, upstream_id: str, *, born_ms: int) -> None:
-        """Write what an upstream says of itself."""
+        """Write the registration of an upstream."""
         entry = registration("llm", "10.0.0.9:80", born_ms=born_ms)
         self.write(upstream_id, json.dumps(entry).encode())
 
     def write(self, key: str, value: bytes) -> None:
-        """Write any value."""
+        """Write an arbitrary value."""
         self.store.put(UPSTREAMS_STREAM, key, value)
 
     def look(self) -> list[str]:
@@ -111,10 +109,9 @@
 
 class TestUpstreamFeed:
     def test_upstream_that_starts_again_under_its_id(self) -> None:
-        """Symptom: prompts are sent to an engine for what it had cached, and it reads them anew.
+        """Guards against prompts sent to an engine for a cache that it lost by a restart.
 
-        Sequence: an engine crashes behind a cut and starts again under its id. Cause: what was
-        believed of it belonged to the id, not to the start, so nothing was forgotten.
+        Cached prompts were tracked by the engine's id and not by its start.
         """
         registrations = _Registrations()
         registrations.register("i-1", born_ms=1_000)
@@ -124,10 +121,9 @@
         assert [u.born_ms for u in registrations.gone] == [1_000]
 
     def test_entries_of_another_writer(self) -> None:
-        """Symptom: requests go to an upstream whose entry cannot be read, or none are served.
+        """Guards against requests to an upstream with an unreadable entry, or a failing feed.
 
-        Sequence: something else writes beside the upstreams, and over the entry of one.
-        Cause: an entry that cannot be read left the one before it in force.
+        Another writer put entries into the stream; an unreadable one left its predecessor in force.
         """
         registrations = _Registrations()
         for upstream_id in ("i-1", "i-2"):
@@ -140,12 +136,11 @@
         assert sorted(registrations.look()) == ["i-1", "i-2"]
 
     def test_hearsay_after_the_store_was_read(self) -> None:
-        """Symptom: requests go to an upstream that left, and nothing ever ends that.
+        """Guards against requests to a deregistered upstream, without end.
 
-        Sequence: an instance starts; the store lists the upstreams, while the configuration, which
-        is larger, is still on its way; so it asks a peer, which has been cut off from the store and
-        still knows an upstream that has left. Cause: what peers tell was taken whether or not the
-        store had spoken; the end of that registration is in the past, and is never read.
+        A starting instance had listed the upstreams but not yet read the larger configuration, and
+        asked a peer that was cut off. It applied that peer's registration of a deregistered
+        upstream, whose deletion it never read.
         """
         registrations = _Registrations()
         registrations.register("i-1", born_ms=1_000)
@@ -158,10 +153,9 @@
         assert registrations.look() == ["i-2"]
 
     def test_hearsay_of_a_state_before(self) -> None:
-        """Symptom: a starting process learns from a ready one that a leaving upstream is ready.
+        """Guards against passing on to a starting instance that a draining upstream is ready.
 
-        Sequence: an upstream says that it leaves; stale hearsay of it comes; another process
-        starts and asks. Cause: what was not believed was kept to be told on.
+        A stale second-hand registration was not applied but retained for `raw_records`.
         """
         registrations = _Registrations()
         registrations.register("i-1", born_ms=1_000)
--- a/mothstand/tests/test_fleet.py
+++ b/mothstand/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""The fleet by its announcements, and a few claimants that lend to all others."""
+"""Tests of the fleet's announcements, the choice of claimants and loans to borrowers."""
 
 from __future__ import annotations
 
@@ -94,11 +94,10 @@
         assert len(sets) > 5
 
     def test_the_most_capable_machines_claim(self) -> None:
-        """Symptom: every tenth request of a fleet of 195 is refused, tokens out of its reach.
+        """Guards against every tenth request refused as out of reach in a fleet of 195.
 
-        Sequence: fifteen claimants write one after the other, under the condition that nobody else
-        did meanwhile; fourteen of them have half a core and need up to two seconds for it.
-        Cause: claimants were drawn by hash alone, whatever their machines can do.
+        Claimants were chosen by hash alone, so that 14 of 15 had half a core and needed up to 2 s
+        for a conditional append.
         """
         usual, thick_link, large = Capacity(0.5, 20.0), Capacity(0.5, 100.0), Capacity(2.0, 100.0)
         capacities = {7: large, 19: large, 23: thick_link}
@@ -133,10 +132,9 @@
         assert len(view.claimants(_SHARD)) == CLAIMANTS_PER_DATA_CENTRE
 
     def test_an_outage_of_the_store_makes_nobody_go(self) -> None:
-        """Symptom: after an outage of the store nobody lends, and requests are refused.
+        """Guards against requests that are refused after a store outage since no peer lends.
 
-        Sequence: the store is away for longer than an instance may be silent, and comes back.
-        Cause: the time in which no announcement could be read was taken for silence.
+        The outage was longer than the expiry of members, and counted as missed announcements.
         """
         view = view_of("a0", ["a0", "a1", "a2"])
         assert view.read(GONE_AFTER_MISSED * ANNOUNCE_S + 10.0) == []
@@ -161,11 +159,10 @@
 
 class TestMemberFeed:
     def test_a_restarted_instance_knows_the_fleet_at_its_first_look(self) -> None:
-        """Symptom: for 0.6 s after each restart an instance is not ready and refuses requests.
+        """Guards against refused requests in the first 0.6 s after each restart.
 
-        Sequence: an instance announces itself, dies, and starts again.
-        Cause: it announced itself before it looked, over the record of its earlier start, and
-        took itself for one of a new fleet whose others it has to wait for.
+        The instance replaced its previous announcement before it read the stream, and so waited
+        for the other instances of a new fleet.
         """
         store = MemoryStore()
 
@@ -190,7 +187,7 @@
 
 
 def borrower_with(link: PeerLink, *, tokens: int) -> tuple[Borrower, HeldBudget]:
-    """Return an instance's borrower, with tokens of a loan that nobody needs any more."""
+    """Return a borrower and its held budget, with unused tokens of a loan."""
     clock = VirtualClock()
     me = Peer("a0", "a0-1", "a0:1")
     keeper = ClaimKeeper(
@@ -212,7 +209,10 @@
 
 
 class TestBorrowers:
-    """Requests of 1,000 to 17,000 tokens, 100 a second, at 64 instances in four data centres."""
+    """Tests of loans, most with 100 requests per second of 1,000 to 17,000 tokens.
+
+    Most fleets have 64 instances in four data centres.
+    """
 
     def play(
         self, claimants: int, prepaid_tokens: int, *, per_data_centre: int = 16
@@ -222,13 +222,12 @@
         return fleet
 
     def test_what_the_store_and_its_readers_do_does_not_grow_with_the_fleet(self) -> None:
-        """Calls of the store and records read by all, in 10 s with plenty of tokens.
+        """Bounds calls to the store and records read by all instances, in 10 s with ample tokens.
 
-        With a claim of each instance 1,368 calls and 65,100 records, with three claimants in each
-        data centre 936 and 18,400, of which some 7,400 are claims; a quarter of that fleet makes
-        650 calls and reads as many claims. The aims: what claims cost does not grow with the fleet
-        (a half is allowed for what does not belong to them), and what an instance reads in all
-        does not either; announcements have a most of their own.
+        If all instances claim: 1,368 calls and 65,100 records. With three claimants per data
+        centre: 936 and 18,400, of them some 7,400 claims; a quarter of that fleet makes 650 calls
+        and reads as many claims. Costs of claims must not grow with the fleet (half is allowed for
+        other costs), nor what one instance reads; announcements have their own maximum.
         """
         few = self.play(CLAIMANTS_PER_DATA_CENTRE, 36_000_000)
         everyone = self.play(16, 36_000_000)
@@ -239,26 +238,24 @@
         assert few.counts["store calls"] < 1.5 * quarter.counts["store calls"]
         assert _claims_read(few) < 1.5 * _claims_read(quarter)
         assert few.counts["records read"] / 64 <= quarter.counts["records read"] / 16
-        # In the ten seconds of the play, and the two in which its last requests end.
+        # In the 10 s of requests and the 2 s in which the last of them end.
         most_announcements = 64 * MOST_ANNOUNCEMENTS_PER_S * 12
         assert few.counts["announcements read"] <= most_announcements
 
     def test_a_budget_is_used_up_to_its_end(self) -> None:
-        """Symptom: requests are refused while tokens that were paid for lie idle.
+        """Guards against refused requests while paid tokens stay unused.
 
-        Sequence: callers ask for more than is left of a budget.
-        Cause: rests smaller than a request lie with each instance.
+        Near a budget's end each instance held a remainder smaller than a request.
         """
         fleet = self.play(CLAIMANTS_PER_DATA_CENTRE, 6_000_000)
         assert 0.97 * 6_000_000 < fleet.spent_tokens <= 6_000_000
 
     def test_claimants_lend_to_each_other_to_the_end(self) -> None:
-        """Symptom: requests are refused at a budget's end while others hold enough.
+        """Guards against requests refused near a budget's end while other claimants hold enough.
 
-        Sequence: nothing of a budget is free any more; a claimant asks the others for loans.
-        Cause: in touch with the store a lender gave no more than its base, and wrote no new one.
-        Of 3,000,000 tokens 13,000 were left idle, and of 120 refusals 14 said that the budget is
-        used up; now 1,200, and 91 of 121.
+        A lender that reached the store lent at most its base and wrote no new claim. Of 3,000,000
+        tokens 13,000 stayed unused, and 14 of 120 refusals were `budget_exhausted`; now 1,200
+        tokens, and 91 of 121.
         """
         fleet = BudgetFleet(4, 3, 3_000_000)
         run_in_virtual_time(lambda: fleet.run(12.0, requests_per_s=40))
@@ -266,22 +263,21 @@
         assert fleet.counts["budget_exhausted"] > fleet.counts["budget_out_of_reach"]
 
     def test_at_a_budgets_end_only_those_are_asked_who_hold_some(self) -> None:
-        """Symptom: at a budget's end each refusal takes 0.3 s, and the lenders' time with it.
+        """Guards against refusals that take 0.3 s near a budget's end and occupy all lenders.
 
-        Sequence: a budget is used up; each request asks all claimants, one after the other.
-        Cause: a borrower knows no claims, and a lender that had nothing did not say who has. Aimed
-        at is the nearest lender and one that it names, for nearly all requests.
+        Borrowers don't know claims, and a lender without tokens did not report other holdings, so
+        each request asked all claimants. Nearly all requests should ask the nearest lender and one
+        peer that it reports.
         """
         fleet = self.play(CLAIMANTS_PER_DATA_CENTRE, 3_000_000)
         assert fleet.counts["loans"] < 3 * fleet.counts["asked"]
         assert fleet.spent_tokens > 0.999 * 3_000_000
 
     def test_borrowers_give_back_what_their_requests_left(self) -> None:
-        """Symptom: a budget's last fifth lies idle while its requests are refused.
+        """Guards against a last fifth of a budget that stays unused while requests are refused.
 
-        Sequence: requests borrow what they may use at most and use less, at many instances that
-        claim nothing; the next request of the budget comes to another instance.
-        Cause: what was left over waited where it was.
+        Requests borrow their maximum and use less; the unused tokens stayed at many borrowers,
+        while the budget's next request came to another instance.
         """
         fleet = BudgetFleet(4, 16, 6_000_000, used_share=0.5)
         run_in_virtual_time(lambda: fleet.run(12.0, requests_per_s=100))
@@ -297,12 +293,10 @@
     def test_a_rest_that_no_peer_confirms_is_never_spent_twice(
         self, error: type[PeerError]
     ) -> None:
-        """Symptom: more is spent of a budget than was paid.
+        """Guards against overspending after a handover without an answer.
 
-        Sequence: a borrower gives a rest back, no answer comes; the lender had added it, spent it,
-        died and started again.
-        Cause it guards against: giving the same rest once more, to a start that knows no ids, or
-        keeping it.
+        The lender may have added and spent the tokens and restarted without knowledge of loan ids,
+        so the borrower must neither send them again nor keep them.
         """
         calls: list[Handover] = []
 
@@ -322,20 +316,18 @@
         assert kept_tokens == (700 if error is PeerUnreachableError else 0)
 
     def test_what_borrowers_spent_is_written_by_lenders_and_never_twice(self) -> None:
-        """Symptom: a request is refused for good (402) though its budget covers it.
+        """Guards against a permanent refusal (402) of a request that its budget covers.
 
-        Sequence: instances that claim nothing spend what they borrowed, and tell their lenders.
-        Cause: a borrower told the same spend to two lenders, or again after a lost answer.
+        A borrower reported the same spend to two lenders, or again after a lost answer.
         """
         fleet = self.play(CLAIMANTS_PER_DATA_CENTRE, 36_000_000)
         assert 0.8 * fleet.spent_tokens < fleet.recorded_spent_tokens <= fleet.spent_tokens
 
     def test_a_request_that_comes_after_the_stop_of_the_claims_is_refused(self) -> None:
-        """Symptom: a request gets an answer 500 of the HTTP library, and no line tells of it.
+        """Guards against an answer 500 of the HTTP library without a log line, at a stop.
 
-        Sequence: an instance stops; a request of a kept connection, for which a loan is needed,
-        arrives after its claims' tasks have ended.
-        Cause: the round of loans was begun in a task group that had ended.
+        A request on a persistent connection needed a loan, whose round was started in a task group
+        that had ended.
         """
         fleet = BudgetFleet(1, 2, 1_000)
         refused: list[Refusal | object] = []
@@ -352,29 +344,27 @@
 
     @pytest.mark.parametrize("seed", [1, 2, 3])
     def test_a_stop_with_a_slow_store_gives_its_claims_back(self, seed: int) -> None:
-        """Symptom: after a rolling restart a tenth of a budget is nobody's.
+        """Guards against a tenth of a budget that stays claimed after a rolling restart.
 
-        Sequence: an instance stops while the store takes 0.32 s for an answer and others write
-        their claims; it has 0.7 s to read and to write, under the condition that nobody else did.
-        Cause: claims were given back in the very last part of a stop's eight seconds only.
+        Claims were given back only in the last 0.7 s of a stop of 8 s. That was too short for a
+        read and a conditional append with a store that takes 0.32 s per call and other writers.
         """
         left = left_by_a_stop(seed, store_call_s=0.32, drains_s=3.8, duration_s=14.0)
         assert left.claimed_tokens <= left.spent_tokens
 
     @pytest.mark.parametrize("seed", [1, 2, 3])
     def test_a_stop_uses_all_of_its_time_to_give_claims_back(self, seed: int) -> None:
-        # Guards against claims that stay with the dead because a store was slow for a moment.
+        # Guards against claims that stay with a stopped instance since the store was slow briefly.
         left = left_by_a_stop(seed, store_call_s=0.6, drains_s=0.0, duration_s=16.0)
         assert left.claimed_tokens <= left.spent_tokens
 
     @pytest.mark.parametrize("claimants", [CLAIMANTS_PER_DATA_CENTRE, 1])
     def test_a_budget_in_doubt_is_not_called_used_up(self, claimants: int) -> None:
-        """Symptom: 640 requests of a day are refused for good (402), and next to none rightly.
+        """Guards against permanent refusals (402) for tokens that may not have been consumed.
 
-        Sequence: engines are slow, callers leave before the first event; their prompts, which may
-        have been read or not, use up a workspace's budget.
-        Cause: what was in doubt counted as consumed. It may not be spent again, but until it is
-        known to be consumed a request is asked to come back.
+        Callers of slow engines disconnected before the first event, and their uncertain tokens
+        counted as consumed: 640 requests of a day were refused, nearly all wrongly. Such tokens
+        can't be spent again, but requests must be asked to retry until their use is confirmed.
         """
         prepaid_tokens = 3_000_000
         fleet = BudgetFleet(4, 3, prepaid_tokens, claimants, unanswered_share=0.5)
@@ -386,10 +376,9 @@
         assert fleet.spent_tokens <= prepaid_tokens
 
     def test_an_outage_of_the_store_is_served_from_what_claimants_hold(self) -> None:
-        """Symptom: in an outage of the store most requests are refused.
+        """Guards against refusals when all instances are cut off from the store for 8 s.
 
-        Sequence: all instances are cut off from the store for 8 s, and reach each other.
-        Cause: what is held is spread so thinly that no instance holds a request's worth.
+        Held tokens were spread over all instances, so that none held enough for one request.
         """
         fleet = BudgetFleet(4, 16, 36_000_000)
 
@@ -402,10 +391,9 @@
         assert fleet.served_share > 0.99
 
     def test_the_death_of_two_claimants_of_a_data_centre_refuses_few(self) -> None:
-        """Symptom: instances refuse all requests after others have died.
+        """Guards against refusal of all requests after two of three claimants have died.
 
-        Sequence: two of three claimants of a data centre end at once, and do not come back.
-        Cause: each request waits for the dead ones first, or nobody else lends.
+        Each request would first wait for the dead claimants, or no other peer would lend.
         """
         fleet = BudgetFleet(4, 16, 36_000_000)
 
@@ -425,7 +413,7 @@
 
 
 def _claims_read(fleet: BudgetFleet) -> int:
-    """Return the records that all instances read of each other's claims."""
+    """Return the number of records of claims that all instances read."""
     return fleet.counts["records read"] - fleet.counts["announcements read"]
 
 
--- a/mothstand/tests/test_leaving_upstreams.py
+++ b/mothstand/tests/test_leaving_upstreams.py
@@ -1,21 +1,10 @@
-"""Upstreams that leave while an instance, or all of them, cannot read the store.
+"""Tests of upstreams that deregister while an instance, or all instances, can't read the store.
 
-What users saw: requests still reached an upstream that had said twelve seconds before that it
-leaves, three seconds after the instance that sent them had its way to the store back.
-
-Order of events: some instances lose the store, and only they; an upstream registers as leaving, and
-its registration ends; the records of that are no longer kept as history; the way to the store comes
-back, the instance reads it, and goes on sending to that upstream.
-
-Cause: the instance took its own silence for an outage of the store. After an outage the end of a
-registration is not believed for some two seconds, since upstreams that live register again. That
-time began only when the instance had found the store again, up to 1.8 s after the cut's end, and
-its end was only looked at with the next read, up to 1.2 s later.
-
-Evidence: the store was answering all others throughout, and the instances had not been restarted.
-In a run of ours of the same events the logs have the end of the registration at 17.1 s, 0.1 s after
-the cut's end, and its upstream dropped at 19.7 s. Where it was seen, one of two such instances had
-its first answer 1.1 s after the cut's end.
+Guards against requests to an upstream that drained 12 s before, more than 3 s after the sending
+instance could reach the store again. The instance mistook its own cut for a store outage, after
+which expired registrations stay in use for some 2 s, since live upstreams register again. That
+grace began only with the first answer of the store, up to 1.8 s after the end of the cut, and its
+end was checked only at the next read, up to 1.2 s later.
 """
 
 from __future__ import annotations
@@ -38,22 +27,22 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-#: Seconds from a machine's way to the store until it must act on all that the store has said: the
-#: platform's guarantee to those who leave.
+#: Maximum seconds from the moment an instance can reach the store again until it acts on all
+#: records: the platform's guarantee to upstreams that deregister.
 _IN_TOUCH_AFTER_S = 3.0
 
-#: Registrations that lapsed in an outage of the store are back within this time of its end.
+#: Maximum seconds from the end of a store outage until live upstreams have registered again.
 _BACK_WITHIN_S = 2.0
 
-#: The whole of a cut in these tests, in which an upstream leaves.
+#: Minimum duration of a cut, during which an upstream deregisters.
 _CUT_S = 12.0
 
-#: Seconds by which cuts are longer than that, so that their ends fall at all points of a try.
+#: Seconds by which cuts are longer, so that they end at all phases of a connection attempt.
 _PHASES_S = [phase / 10 for phase in range(18)]
 
 
 class _Instance:
-    """The upstreams as one instance knows them, through a cut of its way to the store."""
+    """The upstream feed of one instance that is cut off from the store for some time."""
 
     def __init__(self) -> None:
         self.store = MemoryStore()
@@ -72,18 +61,18 @@
         self.used: list[tuple[float, set[str]]] = []
 
     def register(self, upstream_id: str) -> None:
-        """Write what an upstream that takes requests says of itself."""
+        """Write the registration of an upstream that accepts requests."""
         entry = json.dumps(registration("llm", f"10.0.0.{len(upstream_id)}:80"))
         self.store.put(UPSTREAMS_STREAM, upstream_id, entry.encode())
 
     def end(self, upstream_id: str) -> None:
-        """End a registration."""
+        """Delete a registration."""
         self.store.put(UPSTREAMS_STREAM, upstream_id, None)
 
     async def run_through_cut(self, cut_s: float, steps: dict[float, Callable[[], None]]) -> None:
-        """Follow the store for a second, lose it, do some steps by seconds of the cut, regain it.
+        """Follow the store for 1 s, then run the steps at their seconds of a cut.
 
-        What is used is noted from the cut's end on, by the seconds since.
+        After the end of the cut, records the ids in use by the seconds since.
         """
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self.feed.run)
@@ -103,14 +92,14 @@
             tasks.cancel_scope.cancel()
 
     def last_used_s(self, upstream_id: str) -> float:
-        """Return the seconds from the cut's end to the last moment at which one is used."""
+        """Return the seconds from the end of the cut to the last use of an upstream."""
         return max((at_s for at_s, ids in self.used if upstream_id in ids), default=0.0)
 
 
 def _worst_s(scenario: Callable[[_Instance], dict[float, Callable[[], None]]]) -> float:
-    """Return how long after a cut's end one that left in it is used at the most, over all phases.
+    """Return the maximum seconds after a cut for which a deregistered upstream is used.
 
-    The one that stays has to be used throughout.
+    Asserts that the other upstream is used throughout, at all phases.
     """
     worst_s = 0.0
     for phase_s in _PHASES_S:
@@ -127,15 +116,12 @@
 
 class TestLeavingUpstreams:
     def test_left_while_cut_off(self) -> None:
-        """Symptom: an upstream that left long ago gets a request three seconds after the cut.
-
-        Sequence and cause: see above.
-        """
+        """Guards against requests to a deregistered upstream 3 s after a cut, as in the module."""
         worst_s = _worst_s(lambda instance: {3.0: lambda: instance.end("leaves")})
         assert worst_s < _IN_TOUCH_AFTER_S
 
     def test_left_while_cut_off_and_the_history_was_dropped(self) -> None:
-        """Symptom: as above; the end is learnt by a listing that lacks the upstream."""
+        """Guards against the same when the instance reads a listing without the upstream."""
 
         def scenario(instance: _Instance) -> dict[float, Callable[[], None]]:
             def drop() -> None:
@@ -146,10 +132,10 @@
         assert _worst_s(scenario) < _IN_TOUCH_AFTER_S
 
     def test_lapsed_while_the_store_was_away(self) -> None:
-        """Symptom: after an outage of the store all requests are refused for up to two seconds.
+        """Guards against refusal of all requests for up to 2 s after a store outage.
 
-        Sequence: the store is away for all, registrations lapse, it comes back, upstreams that
-        live register again within the time that they have. Cause: a lapse was believed at once.
+        Registrations expired in the outage and were dropped at once, before live upstreams had
+        registered again.
         """
         for phase_s in _PHASES_S:
             random.seed(phase_s)
@@ -160,7 +146,7 @@
 
 
 async def _lapse(instance: _Instance, outage_s: float) -> None:
-    """Let a registration lapse in an outage, and come back as late as it may."""
+    """Delete a registration in an outage, and write it again at the latest allowed time."""
     steps = {_CUT_S - 1.0: lambda: instance.end("lives")}
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(instance.run_through_cut, outage_s, steps)
--- a/mothstand/tests/test_slow_connections.py
+++ b/mothstand/tests/test_slow_connections.py
@@ -1,4 +1,4 @@
-"""Connections that take longer to come about than a call waits for them."""
+"""Tests of connections that take longer to establish than the timeout of a call."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
 
-#: Longer than a call waits for its connection, and as long as packets wait on a full link.
+#: Longer than a call waits for its connection, and as long as packets are queued on a full link.
 _CONNECT_S = 0.55
 
-#: Calls until one must be answered; three or four would do with the connection kept.
+#: Calls of which one must be answered; three or four suffice if the connection attempt is kept.
 _MOST_CALLS = 8
 
 _PAUSE_S = 0.15
@@ -36,7 +36,7 @@
 
 
 def slow_down_connections(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Let each new connection of the running loop take `_CONNECT_S`."""
+    """Delay each new connection of the running loop by `_CONNECT_S`."""
     loop = asyncio.get_running_loop()
     connect = loop.sock_connect
 
@@ -50,7 +50,7 @@
 async def calls_until_answered(
     call: Callable[[], Awaitable[object]], failure: type[Exception]
 ) -> int:
-    """Repeat a call as long as it fails, and return how many were needed."""
+    """Repeat a call until it succeeds, and return the number of calls."""
     for number in range(1, _MOST_CALLS + 1):
         try:
             await call()
@@ -62,7 +62,7 @@
 
 
 async def empty_page(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """Answer each request with a page that has no records."""
+    """Answer each request with a page without records."""
     page = struct.pack(">QQ", 0, 0)
     while not reader.at_eof():
         try:
@@ -78,11 +78,10 @@
     async def test_is_reached_though_connections_take_longer_than_a_call_waits(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        """Symptom: an instance answers by a configuration of five seconds before.
+        """Guards against an instance that serves with a configuration 5 s old after a cut.
 
-        Sequence: a cut ends at an instance whose link is full of its callers' requests; each new
-        connection to the store takes half a second, and is given up after 0.3 s.
-        Cause: a try that was given up was closed, and the next one began anew.
+        On a link full of requests, a connection to the store takes 0.5 s. A call gave up after
+        0.3 s and closed its attempt, and the next call started from the beginning.
         """
         slow_down_connections(monkeypatch)
         async with server(empty_page) as url:
@@ -91,7 +90,7 @@
             calls = await calls_until_answered(
                 lambda: store.read(Stream("keyed.op"), 0), StoreError
             )
-            # The connection is kept: the next call needs no new one.
+            # The connection is reused: the next call needs no new one.
             with anyio.fail_after(_CONNECT_S / 2):
                 await store.read(Stream("keyed.op"), 0)
             await store.aclose()
@@ -116,10 +115,10 @@
     async def test_is_reached_though_connections_take_longer_than_a_call_waits(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        """Symptom: an instance gets no loan from any peer for seconds, though all are well.
+        """Guards against an instance that gets no loans for seconds though all peers run.
 
-        Sequence: its link is full; each connection to a peer takes half a second, a call 0.25 s.
-        Cause: the channel was closed with the call that gave up.
+        On a full link a connection takes 0.5 s; each call gave up after 0.25 s and closed its
+        channel.
         """
         slow_down_connections(monkeypatch)
         address = f"127.0.0.1:{free_port()}"
@@ -142,11 +141,10 @@
     async def test_a_call_that_was_sent_is_never_taken_for_unsent(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        """Symptom: a budget is overspent: a rest is kept here, and was added by the lender too.
+        """Guards against overspending: tokens kept by the sender and added by the lender.
 
-        Sequence: a handover is sent, its connection breaks; before it is told of that, another call
-        has begun a new connection, which is slow to come about.
-        Cause: whether a call was sent was asked of whatever channel the peer had by then.
+        The connection of a sent handover broke. Before the call failed, another call had begun a
+        new connection, and that channel was asked whether anything was sent.
         """
         address = f"127.0.0.1:{free_port()}"
         service = LendingService(
@@ -174,12 +172,10 @@
     async def test_calls_that_wait_for_one_connection_end_each_by_itself(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
-        """Symptom: an instance ends by itself, with exit code 0, as if it had been told to.
+        """Guards against an instance that exits by itself, with code 0 as after a stop.
 
-        Sequence: several calls wait for the connection to a peer that takes no new ones; the first
-        gives up for good and closes the channel.
-        Cause: closing cancelled the attempt, and with it all calls that waited for it; a cancelled
-        background task cancels the whole program.
+        Several calls wait for the connection to a peer that accepts none. The first gave up and
+        closed the channel, which cancelled the attempt, the other calls and so the whole program.
         """
         loop = asyncio.get_running_loop()
 
