--- a/benchmarks/fleet_ledger.py
+++ b/benchmarks/fleet_ledger.py
@@ -10,11 +10,11 @@
 from mothstand.core.ledger_state import Grant
 from mothstand.core.membership import shard_of
 from mothstand.ledger.calls import ReserveCall, Ticket
-from mothstand.ledger.elsewhere import epochs_with_room
+from mothstand.ledger.remote_reserve import epochs_with_room
 from mothstand.ledger.shard import ShardNode
 from mothstand.ledger.state import ShardContext
 from mothstand.settings.instance import TimingSection
-from mothstand.testing.fakes import FakeBeliefs, FakeClock, FakeWriter, NoPeers
+from mothstand.testing.fakes import FakeClock, FakeMembership, FakeWriter, NoPeers
 from mothstand.types import BudgetName, DataCentre, Member, Shard
 
 from .world import PLACES, STEP_S, Ledger, Request, Result
@@ -34,7 +34,7 @@
 
     me: Member
     place: DataCentre
-    beliefs: FakeBeliefs
+    beliefs: FakeMembership
     clock: FakeClock
     nodes: dict[Shard, ShardNode] = field(default_factory=dict)
     writers: dict[Shard, FakeWriter[LedgerRecord]] = field(default_factory=dict)
@@ -43,14 +43,18 @@
     log_silent_s: float = 0.0
 
 
-class _LoneBeliefs(FakeBeliefs):
+class _LoneBeliefs(FakeMembership):
     """Sees the others alive but takes none for a witness."""
 
-    def alive_here(self, now_s: float) -> dict[str, Member]:
+    def local_alive(self, now_s: float) -> dict[str, Member]:
         """Return this one, and the others only while this one is not the first."""
-        alive = super().alive_here(now_s)
+        alive = super().local_alive(now_s)
         first = min(alive)
-        return {self.me.name: self.me} if first == self.me.name else {first: alive[first]}
+        return (
+            {self.local_member.name: self.local_member}
+            if first == self.local_member.name
+            else {first: alive[first]}
+        )
 
 
 class FleetLedger(Ledger):
@@ -186,7 +190,7 @@
         me = Member(name, f"{name}:{self._started}", name)
         clock = FakeClock()
         clock.advance(self._now_s - clock.monotonic_s())
-        beliefs = (FakeBeliefs if self._witnessed else _LoneBeliefs)(me, place)
+        beliefs = (FakeMembership if self._witnessed else _LoneBeliefs)(me, place)
         process = _Process(me, place, beliefs, clock)
         context = ShardContext(
             membership=process.beliefs,
@@ -244,7 +248,7 @@
         state, account = leading
         assert state.witness is not None
         witness = self.processes[state.witness.name]
-        while (batch := account.take_batch()) is not None:
+        while (batch := account.next_batch()) is not None:
             answer = None
             if (
                 witness.dead_at_s is None
@@ -269,7 +273,10 @@
             )
             if taken is not None and lane is Lane.WITNESSED:
                 self._mirror(node)
-                if taken.number not in account.open or not node.reserver.witness_reachable:
+                if (
+                    taken.number not in account.open_reservations
+                    or not node.reserver.witness_reachable
+                ):
                     account.settle(taken.number, 0)
                     taken = None
             if taken is not None:
--- a/benchmarks/orders.py
+++ b/benchmarks/orders.py
@@ -11,7 +11,7 @@
 import fire
 
 from mothstand.core.config import ConfigState, OrderCheck
-from mothstand.core.orders import Order, OrderPlanner, wanted_setup
+from mothstand.core.orders import Order, OrderPlanner, desired_setup
 from mothstand.testing.orders import HERE, FakeEngine, engine, state
 
 _LOAD_S = 30.0
@@ -53,7 +53,7 @@
         self._old = state(1, *upstreams, weight_loads=size.loads)
         self._new = state(2, *upstreams, weight_loads=size.loads)
         for found in self._engines.values():
-            found.setup = wanted_setup(self._old.config, found.upstream)
+            found.setup = desired_setup(self._old.config, found.upstream)
         self._size = size
         self._pause = pause
         self._held_up: list[Order] = []
@@ -81,7 +81,7 @@
         return self.figures
 
     def _round(self, config: ConfigState, now_s: float) -> None:
-        loading = sum(found.report(now_s).loading for found in self._engines.values())
+        loading = sum(found.report(now_s).is_loading for found in self._engines.values())
         self.figures.most_loading = max(self.figures.most_loading, loading)
         alive = [name for name in self._planners if name != self._paused]
         for name in alive:
@@ -89,7 +89,7 @@
 
     def _act(self, name: str, alive: list[str], config: ConfigState, now_s: float) -> None:
         planner = self._planners[name]
-        for upstream in planner.engines(config.config, alive, self._size.loads, now_s):
+        for upstream in planner.engines_to_poll(config.config, alive, self._size.loads, now_s):
             found = self._engines[upstream.name]
             self.figures.looks += 1
             order = planner.decide(upstream, found.report(now_s), config, now_s)
@@ -105,7 +105,7 @@
 
     def _done(self, now_s: float) -> bool:
         return not self._held_up and all(
-            found.report(now_s).setup == wanted_setup(self._new.config, found.upstream)
+            found.report(now_s).setup == desired_setup(self._new.config, found.upstream)
             and not found.loads
             for found in self._engines.values()
         )
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -14,7 +14,7 @@
 
 import fire
 
-from mothstand.core.placement import Placed, Placement, PlacementPolicy, session_of
+from mothstand.core.placement import PlacedRequest, Placement, PlacementPolicy, session_key
 from mothstand.core.prompt import Prompt, PromptPart
 from mothstand.core.upstreams import RegisteredUpstream
 from mothstand.types import DataCentre
@@ -139,7 +139,7 @@
     kind: str
     work: Work
     placement: Placement
-    placed: Placed
+    placed: PlacedRequest
 
 
 class Fleet:
@@ -182,12 +182,12 @@
         self._number += 1
         prompt, work = self._document(now_s) if kind == "document" else self._question(now_s)
         (placement,) = self._rng.choices(self._instances, self._shares)
-        subject = session_of(prompt, f"r{self._number}")
+        subject = session_key(prompt, f"r{self._number}")
         upstream = placement.choose(
             self._upstreams, prompt, subject, tried=frozenset(), now_s=now_s
         )
         assert upstream is not None
-        placed = placement.started(upstream, prompt, now_s)
+        placed = placement.note_started(upstream, prompt, now_s)
         self._engines[upstream.upstream_id].add(work)
         self._running.append(_Running(kind, work, placement, placed))
 
@@ -215,16 +215,16 @@
             engine.step(now_s)
         going_on = []
         for running in self._running:
-            if running.work.first_token_s is not None and running.placed.reading:
+            if running.work.first_token_s is not None and running.placed.is_reading_prompt:
                 self._note_first(running)
             if running.work.made >= running.work.answer_tokens:
-                running.placement.ended(running.placed)
+                running.placement.note_ended(running.placed)
             else:
                 going_on.append(running)
         self._running = going_on
 
     def _note_first(self, running: _Running) -> None:
-        running.placement.read(running.placed)
+        running.placement.note_prompt_read(running.placed)
         assert running.work.first_token_s is not None
         took_s = running.work.first_token_s - running.work.arrived_s
         is_document = running.kind == "document"
--- a/benchmarks/routing.py
+++ b/benchmarks/routing.py
@@ -95,12 +95,12 @@
         if not isinstance(chosen, Success):
             return None
         name = chosen.unwrap().name
-        self.router.started(name)
+        self.router.note_started(name)
         return name
 
     def ended(self, engine: str, took_s: float, now_s: float) -> None:
         """Tell the router."""
-        self.router.ended(engine, failed=False, took_s=took_s, now_s=now_s)
+        self.router.note_ended(engine, failed=False, elapsed_s=took_s, now_s=now_s)
 
 
 class RoutedByReports(Routed):
@@ -108,7 +108,7 @@
 
     def reported(self, engine: str, load: int, now_s: float) -> None:
         """Tell the router."""
-        self.router.reported(engine, load, now_s)
+        self.router.note_load_report(engine, load, now_s)
 
 
 class _Counted(Choice):
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -36,7 +36,7 @@
 from mothstand.settings.folder import validate_sections
 from mothstand.settings.instance import TimingSection
 from mothstand.testing.examples import write_folder
-from mothstand.testing.fakes import FakeBeliefs, FakeClock, FakeWriter, NoPeers
+from mothstand.testing.fakes import FakeClock, FakeMembership, FakeWriter, NoPeers
 from mothstand.testing.fleet import Fleet
 from mothstand.types import NO_EPOCH, BudgetName, DataCentre, Epoch, Member, Shard
 
@@ -102,7 +102,7 @@
 
 def _leader(budgets: int) -> tuple[ShardState, EscrowAgent]:
     context = ShardContext(
-        membership=FakeBeliefs(_member(1), DataCentre("a")),
+        membership=FakeMembership(_member(1), DataCentre("a")),
         calls=NoPeers(),
         clock=FakeClock(),
         timing=TimingSection.model_validate({}),
@@ -112,7 +112,7 @@
     )
     state = ShardState(Shard(0), context)
     _fill(state.fold, budgets)
-    state.holders[Epoch(2)] = HolderAccount(Epoch(2), witnessed=True)
+    state.holders[Epoch(2)] = HolderAccount(Epoch(2), has_witness=True)
     writer: FakeWriter[LedgerRecord] = FakeWriter("h")
     agent = EscrowAgent(state, writer, lambda: None)  # type: ignore[arg-type]
     for number in range(budgets):
@@ -141,20 +141,20 @@
     """Time of reserve, mirror and settle at holder and witness, by requests."""
     points = []
     for size in SIZES:
-        holder, witness = HolderAccount(Epoch(2), witnessed=True), WitnessAccount(Epoch(2))
+        holder, witness = HolderAccount(Epoch(2), has_witness=True), WitnessAccount(Epoch(2))
         name = BudgetName("b")
         grant = Grant(granted_tokens=10**12)
         started = time.process_time()
         for number in range(size):
             taken = holder.reserve(str(number), name, 10, grant=grant, lane=Lane.WITNESSED)
-            batch = holder.take_batch()
+            batch = holder.next_batch()
             assert taken is not None
             assert batch is not None
-            answer = witness.mirror(batch, {name: grant})
+            answer = witness.apply_batch(batch, {name: grant})
             assert answer is not None
-            holder.batch_acked(batch.number, answer)
+            holder.apply_answer(batch.number, answer)
             holder.settle(taken.number, 5)
-            holder.posted(taken.number)
+            holder.note_posted(taken.number)
         points.append((float(size), time.process_time() - started))
     report("accounts of both sides, time by requests", "s", points)
 
@@ -181,7 +181,7 @@
             PeerState(f"i-{n}", f"10.0.{n // 250}.{n % 250}:7000", DataCentre("a"), 0.0, _member(n))
             for n in range(size)
         ]
-        membership.listed(peers, 0.0)
+        membership.apply_listing(peers, 0.0)
         points.append((float(size), tracemalloc.get_traced_memory()[0] / 1e6))
         tracemalloc.stop()
     report("membership, memory by instances", "MB", points)
--- a/conftest.py
+++ b/conftest.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-_KNOWN_RED = Path(__file__).parent / "KNOWN-RED.txt"
+_KNOWN_RED_FILE = Path(__file__).parent / "KNOWN-RED.txt"
 
 #: Second field of an entry whose test fails now and then.
 _SOMETIMES = "sometimes"
@@ -14,7 +14,7 @@
 
 def _entries() -> list[str]:
     """Return the entries: one a line, fields between semicolons, the test or command first."""
-    lines = _KNOWN_RED.read_text(encoding="utf-8").splitlines()
+    lines = _KNOWN_RED_FILE.read_text(encoding="utf-8").splitlines()
     return [line for line in lines if line.strip()]
 
 
--- a/mothstand/cli.py
+++ b/mothstand/cli.py
@@ -40,10 +40,10 @@
 EXIT_SETTINGS = 2
 EXIT_REFUSED = 3
 EXIT_NOT_IN_FORCE = 4
-EXIT_LOG_OUT = 5
+EXIT_LOG_UNREACHABLE = 5
 
 
-def _run(work: Coroutine[Any, Any, int]) -> None:
+def _run_async(work: Coroutine[Any, Any, int]) -> None:
     async def main() -> int:
         return await work
 
@@ -142,7 +142,7 @@
                 print(f"[{change.section}] {json.dumps(old)} -> {json.dumps(new)}")
             return 0
 
-        _run(run())
+        _run_async(run())
 
     def publish(
         self, folder: str, settings: str, base: int | None = None, timeout_s: float = 10.0
@@ -162,7 +162,7 @@
         """
         sections = read_folder(Path(folder))
         operator = read_operator_settings(Path(settings))
-        _run(_publish(operator, sections, base, timeout_s))
+        _run_async(_publish(operator, sections, base, timeout_s))
 
     def status(self, settings: str) -> None:
         """Show configuration, epochs and budgets as the log tells them.
@@ -181,7 +181,7 @@
                 print(line)
             return 0
 
-        _run(run())
+        _run_async(run())
 
     def audit(self, settings: str, contains: str = "") -> None:
         """Show every change: of the configuration, and of who leads and holds what.
@@ -201,7 +201,7 @@
                 print(line)
             return 0
 
-        _run(run())
+        _run_async(run())
 
     def release(self, shard: int, epoch: int, settings: str) -> None:
         """Give back what an epoch holds back whose processes have ended for good.
@@ -214,7 +214,7 @@
             Path of the operator's INI file.
         """
         operator = read_operator_settings(Path(settings))
-        _run(_release(operator, Shard(shard), Epoch(epoch)))
+        _run_async(_release(operator, Shard(shard), Epoch(epoch)))
 
 
 async def _release(operator: OperatorSettings, shard: Shard, epoch: Epoch) -> int:
@@ -255,7 +255,7 @@
     listing = HttpInstanceList(operator.platform.address, caller="operator", timeout_s=2.0)
     peers = GrpcPeers(operator.secrets.fleet_key)
     seen = await wait_in_force(
-        published.offset, listing, peers, clock, timeout_s=timeout_s, progress=_show
+        published.offset, listing, peers, clock, timeout_s=timeout_s, progress=_print_progress
     )
     peers.close()
     if seen.everywhere:
@@ -266,7 +266,7 @@
     return EXIT_NOT_IN_FORCE
 
 
-def _show(seen: InForce) -> None:
+def _print_progress(seen: InForce) -> None:
     total = len(seen.reached) + len(seen.behind) + len(seen.silent)
     print(f"in force on {len(seen.reached)} of {total}")
 
@@ -280,7 +280,7 @@
         sys.exit(EXIT_SETTINGS)
     except LogError as error:
         print(f"error: the platform's log does not answer: {error}", file=sys.stderr)
-        sys.exit(EXIT_LOG_OUT)
+        sys.exit(EXIT_LOG_UNREACHABLE)
 
 
 if __name__ == "__main__":
--- a/mothstand/core/accounts.py
+++ b/mothstand/core/accounts.py
@@ -93,7 +93,7 @@
         Numbers of reservations that did not fit into what the witness may certify.
     """
 
-    sealed: bool
+    is_sealed: bool
     rejected: frozenset[int] = frozenset()
 
 
@@ -106,7 +106,7 @@
     def add(self, budget: BudgetName, tokens: int) -> None:
         self.tokens[budget] = self.tokens.get(budget, 0) + tokens
 
-    def of(self, budget: BudgetName) -> int:
+    def budget_tokens(self, budget: BudgetName) -> int:
         return self.tokens.get(budget, 0)
 
 
@@ -115,19 +115,19 @@
 
     def __init__(self, epoch: Epoch) -> None:
         self.epoch = epoch
-        self.open: dict[int, Reservation] = {}
-        self.unposted: dict[int, SettledRequest] = {}
+        self.open_reservations: dict[int, Reservation] = {}
+        self.unposted_requests: dict[int, SettledRequest] = {}
         self._sums = {lane: _LaneSum() for lane in Lane}
 
     def spent_tokens(self, budget: BudgetName, lane: Lane) -> int:
         """Return a lane's settled usage plus the bounds of its open reservations."""
-        return self._sums[lane].of(budget)
+        return self._sums[lane].budget_tokens(budget)
 
     def open_tokens(self, budget: BudgetName) -> int:
         """Return the upper bounds of the open reservations of a budget."""
-        return sum(r.bound_tokens for r in self.open.values() if r.budget == budget)
+        return sum(r.bound_tokens for r in self.open_reservations.values() if r.budget == budget)
 
-    def spends(self) -> tuple[BudgetSpend, ...]:
+    def budget_spends(self) -> tuple[BudgetSpend, ...]:
         """Return what this side vouches for, for an `EpochClosed` record."""
         budgets = sorted({b for lane in self._sums.values() for b in lane.tokens})
         return tuple(
@@ -139,19 +139,19 @@
             for budget in budgets
         )
 
-    def _open(self, reservation: Reservation) -> None:
-        self.open[reservation.number] = reservation
+    def _add_reservation(self, reservation: Reservation) -> None:
+        self.open_reservations[reservation.number] = reservation
         self._sums[reservation.lane].add(reservation.budget, reservation.bound_tokens)
 
     def _settle(self, settlement: Settlement) -> Reservation | None:
-        reservation = self.open.pop(settlement.number, None)
+        reservation = self.open_reservations.pop(settlement.number, None)
         if reservation is None:
             return None
         # Usage above the reservation is never billed: the stream is cut at the bound.
         used = min(max(0, settlement.used_tokens), reservation.bound_tokens)
         self._sums[reservation.lane].add(reservation.budget, used - reservation.bound_tokens)
         if used > 0:
-            self.unposted[reservation.number] = SettledRequest(reservation, used)
+            self.unposted_requests[reservation.number] = SettledRequest(reservation, used)
         return reservation
 
 
@@ -166,25 +166,25 @@
         Whether the epoch has a witness. Without one, the whole grant is the holder's own.
     """
 
-    def __init__(self, epoch: Epoch, *, witnessed: bool) -> None:
+    def __init__(self, epoch: Epoch, *, has_witness: bool) -> None:
         super().__init__(epoch)
-        self.witnessed = witnessed
-        self.lost = False
+        self.has_witness = has_witness
+        self.has_lost_epoch = False
         self._next_number = 1
-        self._next_batch = 1
-        self._unsent: list[Reservation] = []
+        self._next_batch_number = 1
+        self._unsent_reservations: list[Reservation] = []
         self._unsent_settlements: list[Settlement] = []
-        self._unsent_posted: list[int] = []
-        self._sent: MirrorBatch | None = None
+        self._unsent_posted_numbers: list[int] = []
+        self._unanswered_batch: MirrorBatch | None = None
 
     @property
     def main_lane(self) -> Lane:
         """The lane that requests draw on while all is well."""
-        return Lane.WITNESSED if self.witnessed else Lane.OWN
+        return Lane.WITNESSED if self.has_witness else Lane.OWN
 
     def limit_tokens(self, grant: Grant, lane: Lane) -> int:
         """Return how much of a grant a lane may spend in all."""
-        if not self.witnessed:
+        if not self.has_witness:
             limit = grant.granted_tokens if lane is Lane.OWN else 0
         elif lane is Lane.OWN:
             limit = grant.allowance_tokens
@@ -210,13 +210,13 @@
 
         A witnessed reservation may be used only after `batch_acked` names it.
         """
-        if self.lost or bound_tokens > self.free_tokens(budget, grant, lane):
+        if self.has_lost_epoch or bound_tokens > self.free_tokens(budget, grant, lane):
             return None
         reservation = Reservation(self._next_number, request_id, budget, bound_tokens, lane, owner)
         self._next_number += 1
-        self._open(reservation)
+        self._add_reservation(reservation)
         if lane is Lane.WITNESSED:
-            self._unsent.append(reservation)
+            self._unsent_reservations.append(reservation)
         return reservation
 
     def settle(self, number: int, used_tokens: int) -> Reservation | None:
@@ -225,51 +225,53 @@
         reservation = self._settle(settlement)
         if reservation is None or reservation.lane is not Lane.WITNESSED:
             return reservation
-        if reservation in self._unsent:
+        if reservation in self._unsent_reservations:
             # The witness never hears of it, so that a batch's settlements are all of earlier
             # batches and can be applied before its reservations.
-            self._unsent.remove(reservation)
+            self._unsent_reservations.remove(reservation)
         else:
             self._unsent_settlements.append(settlement)
         return reservation
 
-    def posted(self, number: int) -> None:
+    def note_posted(self, number: int) -> None:
         """Note that the bill of a settled reservation is in the log."""
-        settled = self.unposted.pop(number, None)
+        settled = self.unposted_requests.pop(number, None)
         if settled is not None and settled.reservation.lane is Lane.WITNESSED:
-            self._unsent_posted.append(number)
+            self._unsent_posted_numbers.append(number)
 
-    def take_batch(self) -> MirrorBatch | None:
+    def next_batch(self) -> MirrorBatch | None:
         """Return the batch to send next: the unanswered one again, else a new one, else None.
 
         One batch at a time: while it travels, newer reservations gather for the next one.
         """
-        if self._sent is None and (self._unsent or self._unsent_settlements or self._unsent_posted):
-            self._sent = MirrorBatch(
+        if self._unanswered_batch is None and (
+            self._unsent_reservations or self._unsent_settlements or self._unsent_posted_numbers
+        ):
+            self._unanswered_batch = MirrorBatch(
                 epoch=self.epoch,
-                number=self._next_batch,
-                reservations=tuple(self._unsent),
+                number=self._next_batch_number,
+                reservations=tuple(self._unsent_reservations),
                 settlements=tuple(self._unsent_settlements),
-                posted=tuple(self._unsent_posted),
+                posted=tuple(self._unsent_posted_numbers),
             )
-            self._next_batch += 1
-            self._unsent = []
+            self._next_batch_number += 1
+            self._unsent_reservations = []
             self._unsent_settlements = []
-            self._unsent_posted = []
-        return self._sent
+            self._unsent_posted_numbers = []
+        return self._unanswered_batch
 
-    def batch_acked(self, number: int, answer: MirrorAnswer) -> tuple[Reservation, ...]:
+    def apply_answer(self, number: int, answer: MirrorAnswer) -> tuple[Reservation, ...]:
         """Take the witness's answer and return the reservations that may now be used."""
-        batch = self._sent
+        batch = self._unanswered_batch
         if batch is None or batch.number != number:
             return ()
-        self._sent = None
-        if answer.sealed:
-            self.lost = True
+        self._unanswered_batch = None
+        if answer.is_sealed:
+            self.has_lost_epoch = True
             return ()
         for rejected in answer.rejected:
             self._settle(Settlement(rejected, 0))
-        return tuple(r for r in batch.reservations if r.number in self.open)
+        return tuple(r for r in batch.reservations if r.number in self.open_reservations)
 
 
 class WitnessAccount(_Account):
@@ -283,13 +285,15 @@
 
     def __init__(self, epoch: Epoch) -> None:
         super().__init__(epoch)
-        self.sealed = False
-        self.promoted = False
-        self._last_batch = 0
-        self._last_answer = MirrorAnswer(sealed=False)
+        self.is_sealed = False
+        self.is_promoted = False
+        self._last_batch_number = 0
+        self._last_answer = MirrorAnswer(is_sealed=False)
         self._next_own_number = -1
 
-    def mirror(self, batch: MirrorBatch, grants: dict[BudgetName, Grant]) -> MirrorAnswer | None:
+    def apply_batch(
+        self, batch: MirrorBatch, grants: dict[BudgetName, Grant]
+    ) -> MirrorAnswer | None:
         """Acknowledge what fits of a batch; return None for a batch out of order.
 
         Parameters
@@ -298,38 +302,38 @@
             The epoch's grants as this process has read them in the log. Older ones than the
             holder's only make it acknowledge less.
         """
-        if self.sealed:
-            return MirrorAnswer(sealed=True)
-        if batch.number == self._last_batch:
+        if self.is_sealed:
+            return MirrorAnswer(is_sealed=True)
+        if batch.number == self._last_batch_number:
             return self._last_answer
-        if batch.number != self._last_batch + 1:
+        if batch.number != self._last_batch_number + 1:
             return None
         # Settlements first: the holder has given the room that they free to the reservations.
         for settlement in batch.settlements:
             self._settle(settlement)
         rejected = {r.number for r in batch.reservations if not self._acknowledge(r, grants)}
         for number in batch.posted:
-            self.unposted.pop(number, None)
-        self._last_batch = batch.number
-        self._last_answer = MirrorAnswer(sealed=False, rejected=frozenset(rejected))
+            self.unposted_requests.pop(number, None)
+        self._last_batch_number = batch.number
+        self._last_answer = MirrorAnswer(is_sealed=False, rejected=frozenset(rejected))
         return self._last_answer
 
     def seal(self) -> None:
         """Acknowledge nothing any more. Only then may the epoch's rest be given to others."""
-        self.sealed = True
+        self.is_sealed = True
 
     def promote(self) -> None:
         """Seal, and start to spend the epoch's promotion share; for when the log is out."""
-        self.sealed = True
-        self.promoted = True
+        self.is_sealed = True
+        self.is_promoted = True
 
     def free_own_tokens(self, budget: BudgetName, grant: Grant) -> int:
         """Return what a promoted witness may still reserve."""
-        if not self.promoted:
+        if not self.is_promoted:
             return 0
         witnessed = self.spent_tokens(budget, Lane.WITNESSED)
-        rest = grant.granted_tokens - grant.allowance_tokens - witnessed
-        return min(rest, grant.promotion_tokens) - self.spent_tokens(budget, Lane.OWN)
+        unspent = grant.granted_tokens - grant.allowance_tokens - witnessed
+        return min(unspent, grant.promotion_tokens) - self.spent_tokens(budget, Lane.OWN)
 
     def reserve_own(
         self,
@@ -347,20 +351,20 @@
             self._next_own_number, request_id, budget, bound_tokens, Lane.OWN, owner
         )
         self._next_own_number -= 1
-        self._open(reservation)
+        self._add_reservation(reservation)
         return reservation
 
     def settle(self, number: int, used_tokens: int) -> Reservation | None:
         """Settle a reservation that its holder can no longer settle, or one of its own."""
         return self._settle(Settlement(number, used_tokens))
 
-    def posted(self, number: int) -> None:
+    def note_posted(self, number: int) -> None:
         """Note that the bill of a settled reservation is in the log."""
-        self.unposted.pop(number, None)
+        self.unposted_requests.pop(number, None)
 
-    def stop_own(self) -> None:
+    def stop_promotion(self) -> None:
         """Stop spending the promotion share, before the epoch is closed in the log."""
-        self.promoted = False
+        self.is_promoted = False
 
     def _acknowledge(self, reservation: Reservation, grants: dict[BudgetName, Grant]) -> bool:
         grant = grants.get(reservation.budget)
@@ -370,5 +374,5 @@
         spent = self.spent_tokens(reservation.budget, Lane.WITNESSED)
         if spent + reservation.bound_tokens > limit:
             return False
-        self._open(reservation)
+        self._add_reservation(reservation)
         return True
--- a/mothstand/core/patience.py
+++ b/mothstand/core/adaptive_timeout.py
@@ -11,33 +11,33 @@
 
 #: After this many objectives without a sign of an answer, another upstream is tried. One that is
 #: merely busy answers before; one that hangs never.
-_OBJECTIVES = 1.6
+_OBJECTIVE_FACTOR = 1.6
 
 #: The same in mean times to an answer's head, for when all upstreams are slow.
-_MEANS = 3.0
+_MEAN_FACTOR = 3.0
 
 #: Least patience; a busy upstream takes so long for a short request.
-_LEAST_S = 0.25
+_MIN_TIMEOUT_S = 0.25
 
 #: Longest patience; callers abandon a stream after two seconds without an event.
-_MOST_S = 1.5
+_MAX_TIMEOUT_S = 1.5
 
 #: Weight of the latest answer in the mean time to an answer's head.
 _LATEST_WEIGHT = 0.05
 
 
 @dataclass(slots=True)
-class Patience:
+class AdaptiveTimeout:
     """Mean times to an answer's head by service, and the patience that follows from them."""
 
-    _head_s: dict[str, float] = field(default_factory=dict)
+    _mean_head_s: dict[str, float] = field(default_factory=dict)
 
-    def answered(self, service: str, took_s: float) -> None:
+    def record_response_time(self, service: str, elapsed_s: float) -> None:
         """Note how long an answer's head took."""
-        mean_s = self._head_s.get(service, took_s)
-        self._head_s[service] = mean_s + _LATEST_WEIGHT * (took_s - mean_s)
+        mean_s = self._mean_head_s.get(service, elapsed_s)
+        self._mean_head_s[service] = mean_s + _LATEST_WEIGHT * (elapsed_s - mean_s)
 
-    def of(self, service: str, objective_s: float) -> float:
+    def timeout_s(self, service: str, objective_s: float) -> float:
         """Return the seconds to wait for an answer's head from one upstream.
 
         Parameters
@@ -45,6 +45,6 @@
         objective_s
             Within which the request should be answered.
         """
-        by_objective_s = _OBJECTIVES * objective_s
-        by_mean_s = _MEANS * self._head_s.get(service, 0.0)
-        return min(_MOST_S, max(_LEAST_S, by_objective_s, by_mean_s))
+        by_objective_s = _OBJECTIVE_FACTOR * objective_s
+        by_mean_s = _MEAN_FACTOR * self._mean_head_s.get(service, 0.0)
+        return min(_MAX_TIMEOUT_S, max(_MIN_TIMEOUT_S, by_objective_s, by_mean_s))
--- a/mothstand/core/backoff.py
+++ b/mothstand/core/backoff.py
@@ -19,16 +19,16 @@
     """
 
     first_s: float
-    most_s: float
-    tries: int = 0
+    max_s: float
+    attempts: int = 0
 
     def next_s(self) -> float:
         """Return the delay before the next try, and count it."""
-        delay_s = min(self.most_s, self.first_s * 2 ** min(self.tries, _MOST_DOUBLINGS))
-        self.tries += 1
+        delay_s = min(self.max_s, self.first_s * 2 ** min(self.attempts, _MAX_DOUBLINGS))
+        self.attempts += 1
         return delay_s
 
-    def jittered_s(self) -> float:
+    def next_jittered_s(self) -> float:
         """Return a delay of half to one and a half times `next_s`.
 
         After an outage all instances would otherwise come back to what recovers in step.
@@ -37,8 +37,8 @@
 
     def reset(self) -> None:
         """Start again with the first delay."""
-        self.tries = 0
+        self.attempts = 0
 
 
 #: More than any delay needs; keeps the power from growing without end.
-_MOST_DOUBLINGS = 30
+_MAX_DOUBLINGS = 30
--- a/mothstand/core/bills.py
+++ b/mothstand/core/bills.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(slots=True)
-class Billed:
+class BilledTotals:
     """Sums of one budget."""
 
     tokens: int = 0
@@ -28,17 +28,17 @@
 
     def __init__(self) -> None:
         self.lines: dict[str, BillLine] = {}
-        self.billed: dict[BudgetName, Billed] = {}
-        self.dropped = 0
+        self.billed: dict[BudgetName, BilledTotals] = {}
+        self.duplicate_lines = 0
 
     def apply(self, _offset: int, record: BillsPosted) -> None:
         """Apply the record."""
         for line in record.lines:
             if line.request_id in self.lines:
-                self.dropped += 1
+                self.duplicate_lines += 1
                 continue
             self.lines[line.request_id] = line
-            billed = self.billed.setdefault(line.budget, Billed())
+            billed = self.billed.setdefault(line.budget, BilledTotals())
             billed.tokens += line.tokens
             billed.requests += 1
             billed.estimated_requests += line.estimated
--- a/mothstand/core/burst_shares.py
+++ b/mothstand/core/burst_shares.py
@@ -55,9 +55,9 @@
         before it has read this instance's announcement.
     """
 
-    seen_s: float
+    last_seen_s: float
     notice: SharerNotice
-    counts_me_from_s: float | None = None
+    counts_local_from_s: float | None = None
 
 
 @dataclass(slots=True)
@@ -78,104 +78,110 @@
     incarnation: str
     span_s: float
     started_s: float
-    _others: dict[str, _Sharer] = field(default_factory=dict)
-    _offset: int | None = None
+    _other_sharers: dict[str, _Sharer] = field(default_factory=dict)
+    _own_offset: int | None = None
     _read_to: int = 0
-    _read_s: float = -math.inf
+    _last_read_s: float = -math.inf
     _leased_until_s: float = -math.inf
-    _waits_until_s: float = -math.inf
-    _is_known: bool = False
+    _wait_until_s: float = -math.inf
+    _is_counted_by_all: bool = False
 
-    def note(
+    def apply_announcement(
         self, name: str, incarnation: str, notice: SharerNotice, offset: int, now_s: float
     ) -> None:
         """Take an announcement."""
         if name == self.name:
-            self._note_own(incarnation, notice, offset)
+            self._apply_own_announcement(incarnation, notice, offset)
             return
-        sharer = self._others.setdefault(name, _Sharer(now_s, notice))
-        sharer.seen_s = now_s
+        sharer = self._other_sharers.setdefault(name, _Sharer(now_s, notice))
+        sharer.last_seen_s = now_s
         sharer.notice = notice
-        self._note_what_it_read(sharer, now_s)
+        self._update_counted_from(sharer, now_s)
 
     def retire(self, name: str) -> None:
         """Take the record by which a name leaves the fleet."""
-        self._others.pop(name, None)
+        self._other_sharers.pop(name, None)
         if name == self.name:
             # The others no longer count this instance; it begins anew with its next announcement.
-            self._offset = None
-            self._is_known = False
-            for sharer in self._others.values():
-                sharer.counts_me_from_s = None
+            self._own_offset = None
+            self._is_counted_by_all = False
+            for sharer in self._other_sharers.values():
+                sharer.counts_local_from_s = None
 
     def keep_only(self, names: set[str]) -> None:
         """Take a listing of all names in place of what was read one by one."""
-        for name in {*self._others, self.name} - names:
+        for name in {*self._other_sharers, self.name} - names:
             self.retire(name)
 
-    def read(self, read_to: int, now_s: float, announce_s: float) -> None:
+    def note_read(self, read_to: int, now_s: float, announce_interval_s: float) -> None:
         """Note that all records before an offset have been read.
 
         Notes
         -----
         After a gap in reading, others may have been unable to announce themselves as well.
         """
-        if now_s - self._read_s > 2 * announce_s:
-            for sharer in self._others.values():
-                sharer.seen_s = now_s
+        if now_s - self._last_read_s > 2 * announce_interval_s:
+            for sharer in self._other_sharers.values():
+                sharer.last_seen_s = now_s
         self._read_to = read_to
-        self._read_s = now_s
+        self._last_read_s = now_s
 
-    def notice(self, announce_s: float) -> SharerNotice:
+    def next_notice(self, announce_interval_s: float) -> SharerNotice:
         """Return what the next announcement says."""
-        return SharerNotice(self._read_to, _LEASE_ANNOUNCEMENTS * announce_s, self._is_known)
+        return SharerNotice(
+            self._read_to, _LEASE_ANNOUNCEMENTS * announce_interval_s, self._is_counted_by_all
+        )
 
-    def must_follow(self, now_s: float) -> bool:
+    def must_append_after_read(self, now_s: float) -> bool:
         """Return whether the next announcement must come right after the last record read.
 
         With its lease this instance may have lost its place, by a record that it has not read yet.
         """
-        return self._offset is not None and now_s >= self._leased_until_s
+        return self._own_offset is not None and now_s >= self._leased_until_s
 
-    def announced(self, notice: SharerNotice, began_s: float) -> None:
+    def note_announced(self, notice: SharerNotice, began_s: float) -> None:
         """Note that the store has taken an announcement, whose append began then."""
         self._leased_until_s = began_s + notice.lease_s
 
-    def silent(self, now_s: float) -> list[str]:
+    def expired_names(self, now_s: float) -> list[str]:
         """Return the names whose leases, and the windows after these, are over."""
         return [
             name
-            for name, sharer in self._others.items()
-            if now_s - sharer.seen_s > sharer.notice.lease_s + self.span_s
+            for name, sharer in self._other_sharers.items()
+            if now_s - sharer.last_seen_s > sharer.notice.lease_s + self.span_s
         ]
 
     def sharers(self, now_s: float) -> int:
         """Return in how many parts the burst is divided, 0 while none may be used here."""
-        self._look_who_counts_me(now_s)
-        if not self._is_known or now_s < self._waits_until_s or now_s >= self._leased_until_s:
+        self._update_counted_by_all(now_s)
+        if (
+            not self._is_counted_by_all
+            or now_s < self._wait_until_s
+            or now_s >= self._leased_until_s
+        ):
             return 0
-        return 1 + len(self._others)
+        return 1 + len(self._other_sharers)
 
-    def _note_own(self, incarnation: str, notice: SharerNotice, offset: int) -> None:
+    def _apply_own_announcement(self, incarnation: str, notice: SharerNotice, offset: int) -> None:
         if incarnation == self.incarnation:
-            if self._offset is None:
-                self._offset = offset
-        elif self._offset is None:
+            if self._own_offset is None:
+                self._own_offset = offset
+        elif self._own_offset is None:
             # Whoever knew the earlier start counts this one; its retries may still be on their way.
-            self._is_known = self._is_known or notice.may_have_used
-            self._waits_until_s = self.started_s + self.span_s
+            self._is_counted_by_all = self._is_counted_by_all or notice.may_have_used
+            self._wait_until_s = self.started_s + self.span_s
 
-    def _note_what_it_read(self, sharer: _Sharer, now_s: float) -> None:
-        has_read = self._offset is not None and sharer.notice.read_to > self._offset
-        if has_read and sharer.counts_me_from_s is None:
+    def _update_counted_from(self, sharer: _Sharer, now_s: float) -> None:
+        has_read = self._own_offset is not None and sharer.notice.read_to > self._own_offset
+        if has_read and sharer.counts_local_from_s is None:
             # What has no part yet has used none that was larger.
             wait_s = self.span_s if sharer.notice.may_have_used else 0.0
-            sharer.counts_me_from_s = now_s + wait_s
+            sharer.counts_local_from_s = now_s + wait_s
 
-    def _look_who_counts_me(self, now_s: float) -> None:
-        if self._is_known or self._offset is None:
+    def _update_counted_by_all(self, now_s: float) -> None:
+        if self._is_counted_by_all or self._own_offset is None:
             return
-        self._is_known = all(
-            sharer.counts_me_from_s is not None and sharer.counts_me_from_s <= now_s
-            for sharer in self._others.values()
+        self._is_counted_by_all = all(
+            sharer.counts_local_from_s is not None and sharer.counts_local_from_s <= now_s
+            for sharer in self._other_sharers.values()
         )
--- a/mothstand/core/claim_policy.py
+++ b/mothstand/core/claim_policy.py
@@ -53,10 +53,10 @@
     window_share: float = 0.2
     base_share: float = 0.05
     base_s: float = 0.5
-    start_s: float = 40.0
-    lull_share: float = 0.5
+    initial_lifetime_s: float = 40.0
+    min_demand_share: float = 0.5
     slack: float = 0.15
-    silent_after_s: float = 4.0
+    stale_after_s: float = 4.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -83,16 +83,16 @@
     waiting_tokens: int
     largest_tokens: int
     demand_tokens_per_s: float
-    others: tuple[float, ...] = field(default_factory=tuple)
-    others_unspent_tokens: int = 0
+    other_demands_tokens_per_s: tuple[float, ...] = field(default_factory=tuple)
+    other_holders_unspent_tokens: int = 0
     instances: int = 1
 
 
-def view_of(
+def budget_view(
     table: ClaimTable,
     held: HeldBudget,
     demand: Demand,
-    me: Holder,
+    local_holder: Holder,
     *,
     prepaid_tokens: int,
     waiting_tokens: int,
@@ -104,7 +104,7 @@
     live = [
         claim
         for holder, claim in table.claims[held.budget].items()
-        if holder != me and now_s - table.read_at_s[holder] < policy.silent_after_s
+        if holder != local_holder and now_s - table.changed_at_s[holder] < policy.stale_after_s
     ]
     return BudgetView(
         prepaid_tokens=prepaid_tokens,
@@ -114,9 +114,9 @@
         limit_tokens=held.limit_tokens,
         waiting_tokens=waiting_tokens,
         largest_tokens=demand.largest_tokens,
-        demand_tokens_per_s=demand.rate(now_s),
-        others=tuple(claim.demand_tokens_per_s for claim in live),
-        others_unspent_tokens=sum(c.claimed_tokens - c.spent_tokens for c in live),
+        demand_tokens_per_s=demand.rate_tokens_per_s(now_s),
+        other_demands_tokens_per_s=tuple(claim.demand_tokens_per_s for claim in live),
+        other_holders_unspent_tokens=sum(c.claimed_tokens - c.spent_tokens for c in live),
         instances=instances,
     )
 
@@ -153,9 +153,11 @@
 
 def wanted_window(view: BudgetView, claimed_tokens: int, policy: ClaimPolicy) -> Window:
     """Return the window to write with a claim."""
-    share = _left_tokens(view) * _demand_share(view, policy)
-    window = policy.window_share * share
-    base = min(window, max(policy.base_share * share, policy.base_s * view.demand_tokens_per_s))
+    share_tokens = _remaining_tokens(view) * _demand_share(view, policy)
+    window = policy.window_share * share_tokens
+    base = min(
+        window, max(policy.base_share * share_tokens, policy.base_s * view.demand_tokens_per_s)
+    )
 
     def within_claim(slack_tokens: float) -> int:
         wanted = view.needed_claim_tokens + max(slack_tokens, view.waiting_tokens)
@@ -165,33 +167,35 @@
 
 
 def _target_tokens(view: BudgetView, policy: ClaimPolicy) -> float:
-    share = policy.held_share * _left_tokens(view) * _demand_share(view, policy)
-    mine = max(view.demand_tokens_per_s, _least_demand(view, policy))
-    ride = mine * policy.ride_through_s + policy.spare_requests * view.largest_tokens
-    return max(0.0, min(share, ride))
+    share_tokens = policy.held_share * _remaining_tokens(view) * _demand_share(view, policy)
+    demand_tokens_per_s = max(view.demand_tokens_per_s, _min_demand_tokens_per_s(view, policy))
+    ride_through_tokens = (
+        demand_tokens_per_s * policy.ride_through_s + policy.spare_requests * view.largest_tokens
+    )
+    return max(0.0, min(share_tokens, ride_through_tokens))
 
 
-def _left_tokens(view: BudgetView) -> int:
-    return max(0, view.free_tokens + view.held_tokens + view.others_unspent_tokens)
+def _remaining_tokens(view: BudgetView) -> int:
+    return max(0, view.free_tokens + view.held_tokens + view.other_holders_unspent_tokens)
 
 
-def _least_demand(view: BudgetView, policy: ClaimPolicy) -> float:
+def _min_demand_tokens_per_s(view: BudgetView, policy: ClaimPolicy) -> float:
     """Return the least demand that is held for: a lull may end inside an outage."""
-    usual = view.prepaid_tokens / policy.start_s / max(1, view.instances)
-    asked = view.demand_tokens_per_s + sum(view.others) > 0
-    return policy.lull_share * usual if asked else usual
+    initial_tokens_per_s = view.prepaid_tokens / policy.initial_lifetime_s / max(1, view.instances)
+    has_demand = view.demand_tokens_per_s + sum(view.other_demands_tokens_per_s) > 0
+    return policy.min_demand_share * initial_tokens_per_s if has_demand else initial_tokens_per_s
 
 
 def _demand_share(view: BudgetView, policy: ClaimPolicy) -> float:
     """Return this instance's part of the demand on a budget, from 0 to 1."""
     instances = max(1, view.instances)
-    mine = view.demand_tokens_per_s
-    total = mine + sum(view.others)
-    if total <= 0:
+    own_tokens_per_s = view.demand_tokens_per_s
+    total_tokens_per_s = own_tokens_per_s + sum(view.other_demands_tokens_per_s)
+    if total_tokens_per_s <= 0:
         return 1 / instances
     # An instance without callers now may get them with the next connection.
-    mine = max(mine, _IDLE_SHARE * total / instances)
-    return min(1.0, mine / total)
+    own_tokens_per_s = max(own_tokens_per_s, _IDLE_SHARE * total_tokens_per_s / instances)
+    return min(1.0, own_tokens_per_s / total_tokens_per_s)
 
 
 #: What an instance without callers counts for, as a part of an equal share.
--- a/mothstand/core/claims.py
+++ b/mothstand/core/claims.py
@@ -78,12 +78,12 @@
 
     next_offset: int = 0
     claims: dict[BudgetName, dict[Holder, Claim]] = field(default_factory=lambda: defaultdict(dict))
-    read_at_s: dict[Holder, float] = field(default_factory=dict)
+    changed_at_s: dict[Holder, float] = field(default_factory=dict)
 
-    def put(self, claim: Claim, now_s: float) -> None:
+    def apply(self, claim: Claim, now_s: float) -> None:
         """Take a later claim of its holder."""
         self.claims[claim.budget][claim.holder] = claim
-        self.read_at_s[claim.holder] = now_s
+        self.changed_at_s[claim.holder] = now_s
 
     def claimed_tokens(self, budget: BudgetName) -> int:
         """Return what all holders of a budget may consume."""
@@ -108,12 +108,12 @@
         have begun to run it or not, and nobody can tell later.
     """
 
-    most_tokens: int
-    sure_tokens: int
+    max_tokens: int
+    confirmed_tokens: int
 
 
 #: Of a request that did not run.
-UNUSED = Usage(0, 0)
+NO_USAGE = Usage(0, 0)
 
 
 @dataclass(slots=True)
@@ -122,7 +122,7 @@
 
     budget: BudgetName
     tokens: int
-    open: bool = True
+    is_open: bool = True
 
 
 @dataclass(slots=True)
@@ -159,15 +159,15 @@
     received_tokens: int = 0
     given_tokens: int = 0
     borrowed_spent_tokens: int = 0
-    untold_tokens: int = 0
-    heard_spent_tokens: int = 0
-    doubtful_tokens: int = 0
+    unreported_borrowed_tokens: int = 0
+    borrowers_spent_tokens: int = 0
+    uncertain_tokens: int = 0
 
     @property
     def recorded_spent_tokens(self) -> int:
         """What this process writes as spent; summed over all claims it is never too much."""
-        own = self.spent_tokens - self.doubtful_tokens - self.borrowed_spent_tokens
-        return own + self.heard_spent_tokens
+        own = self.spent_tokens - self.uncertain_tokens - self.borrowed_spent_tokens
+        return own + self.borrowers_spent_tokens
 
     @property
     def available_tokens(self) -> int:
@@ -188,29 +188,29 @@
         used = self.spent_tokens + self.reserved_tokens + self.given_tokens
         return used - self.received_tokens
 
-    def reserve(self, tokens: int, *, kept_tokens: int = 0) -> Reservation | None:
+    def reserve(self, tokens: int, *, withheld_tokens: int = 0) -> Reservation | None:
         """Set tokens aside, or return None if they do not fit beside what is kept for others."""
-        if tokens > self.available_tokens - kept_tokens:
+        if tokens > self.available_tokens - withheld_tokens:
             return None
         self.reserved_tokens += tokens
         return Reservation(self.budget, tokens)
 
     def settle(self, reservation: Reservation, usage: Usage) -> int:
         """End a reservation, return what it surely spent; a second call changes nothing."""
-        if not reservation.open:
+        if not reservation.is_open:
             return 0
-        reservation.open = False
+        reservation.is_open = False
         self.reserved_tokens -= reservation.tokens
-        spent = min(usage.most_tokens, reservation.tokens)
-        sure = min(usage.sure_tokens, spent)
+        spent = min(usage.max_tokens, reservation.tokens)
+        confirmed = min(usage.confirmed_tokens, spent)
         self.spent_tokens += spent
-        self.doubtful_tokens += spent - sure
-        return sure
+        self.uncertain_tokens += spent - confirmed
+        return confirmed
 
     def spend_borrowed(self, tokens: int) -> None:
         """Note that of what was settled just now tokens came from lenders."""
         self.borrowed_spent_tokens += tokens
-        self.untold_tokens += tokens
+        self.unreported_borrowed_tokens += tokens
 
     def give(self, tokens: int) -> int:
         """Take up to `tokens` out for another instance, and return how many."""
@@ -224,7 +224,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class DoubtfulAppend:
+class UnconfirmedAppend:
     """An append without an answer: its claims are in the store, or may get there late.
 
     Parameters
@@ -233,12 +233,12 @@
         The condition it was sent under; once the stream has grown past it, it is decided.
     """
 
-    at_offset: int
+    condition_offset: int
     claims: dict[BudgetName, Claim]
 
 
 @dataclass(slots=True)
-class ClaimBook:
+class LocalClaims:
     """The claims of one shard together with what this process holds of them.
 
     Notes
@@ -248,37 +248,39 @@
     the lowest doubtful claim binds until a later record proves the append's fate.
     """
 
-    me: Holder
+    holder: Holder
     table: ClaimTable = field(default_factory=ClaimTable)
-    held: dict[BudgetName, HeldBudget] = field(default_factory=dict)
+    held_budgets: dict[BudgetName, HeldBudget] = field(default_factory=dict)
     opening: Opening = CLOSED
-    doubts: list[DoubtfulAppend] = field(default_factory=list)
+    unconfirmed_appends: list[UnconfirmedAppend] = field(default_factory=list)
 
-    def of(self, budget: BudgetName) -> HeldBudget:
+    def held_budget(self, budget: BudgetName) -> HeldBudget:
         """Return what is held of a budget."""
-        if budget not in self.held:
-            self.held[budget] = HeldBudget(budget, opening=self.opening)
-        return self.held[budget]
+        if budget not in self.held_budgets:
+            self.held_budgets[budget] = HeldBudget(budget, opening=self.opening)
+        return self.held_budgets[budget]
 
-    def took(self, next_offset: int) -> None:
+    def advance_to(self, next_offset: int) -> None:
         """Note that the table shows the stream up to an offset."""
         self.table.next_offset = max(self.table.next_offset, next_offset)
-        self.doubts = [d for d in self.doubts if d.at_offset >= self.table.next_offset]
-        self._settle_limits()
+        self.unconfirmed_appends = [
+            d for d in self.unconfirmed_appends if d.condition_offset >= self.table.next_offset
+        ]
+        self._update_limits()
 
-    def begin(self, claims: tuple[Claim, ...]) -> DoubtfulAppend:
+    def begin_append(self, claims: tuple[Claim, ...]) -> UnconfirmedAppend:
         """Note an append that is about to be sent; lowered claims bind from now on."""
-        doubt = DoubtfulAppend(
-            self.table.next_offset, {c.budget: c for c in claims if c.holder == self.me}
+        append = UnconfirmedAppend(
+            self.table.next_offset, {c.budget: c for c in claims if c.holder == self.holder}
         )
-        self.doubts.append(doubt)
-        self._settle_limits()
-        return doubt
+        self.unconfirmed_appends.append(append)
+        self._update_limits()
+        return append
 
-    def rejected(self, doubt: DoubtfulAppend) -> None:
+    def append_rejected(self, append: UnconfirmedAppend) -> None:
         """Note that an append was surely not done."""
-        self.doubts = [d for d in self.doubts if d is not doubt]
-        self._settle_limits()
+        self.unconfirmed_appends = [d for d in self.unconfirmed_appends if d is not append]
+        self._update_limits()
 
     def fits(self, claims: tuple[Claim, ...], prepaid_tokens: dict[BudgetName, int]) -> bool:
         """Return whether raised claims still fit into what was paid."""
@@ -290,29 +292,29 @@
                 return False
         return True
 
-    def _settle_limits(self) -> None:
-        for budget, held in self.held.items():
-            doubtful = [d.claims[budget] for d in self.doubts if budget in d.claims]
-            claims = [self.table.claim(budget, self.me), *doubtful]
+    def _update_limits(self) -> None:
+        for budget, held in self.held_budgets.items():
+            unconfirmed = [d.claims[budget] for d in self.unconfirmed_appends if budget in d.claims]
+            claims = [self.table.claim(budget, self.holder), *unconfirmed]
             held.limit_tokens = min(claim.claimed_tokens for claim in claims)
             held.window_tokens = min(claim.window_tokens for claim in claims)
             held.base_tokens = min(claim.base_tokens for claim in claims)
 
-    def covers(self, claims: tuple[Claim, ...]) -> bool:
+    def bases_cover_usage(self, claims: tuple[Claim, ...]) -> bool:
         """Return whether bases cover all that was used, once claims are written.
 
         A renewal says that no more than the bases was used. One that is written while more was
         used, as after an outage, would let a successor give back tokens that are spent.
         """
-        bases = {c.budget: c.base_tokens for c in claims if c.holder == self.me}
+        bases = {c.budget: c.base_tokens for c in claims if c.holder == self.holder}
         return all(
             held.needed_claim_tokens
-            <= bases.get(budget, self.table.claim(budget, self.me).base_tokens)
-            for budget, held in self.held.items()
+            <= bases.get(budget, self.table.claim(budget, self.holder).base_tokens)
+            for budget, held in self.held_budgets.items()
         )
 
-    def open(self, opening: Opening) -> None:
+    def set_opening(self, opening: Opening) -> None:
         """Allow to spend as much of all claims as an opening says."""
         self.opening = opening
-        for held in self.held.values():
+        for held in self.held_budgets.values():
             held.opening = opening
--- a/mothstand/core/config.py
+++ b/mothstand/core/config.py
@@ -108,7 +108,7 @@
     data_centre: DataCentre
     serves: tuple[str, ...]
     slots: int
-    resumes: bool = False
+    can_resume: bool = False
     orders: OrderCheck = OrderCheck.NONE
     role: str = "mixed"
 
@@ -138,7 +138,7 @@
     default_max_tokens: int = 512
     answer_kept_s: float = 600.0
     weight_loads: int = 1
-    _serving: dict[str, dict[DataCentre, tuple[Upstream, ...]]] = field(
+    _upstreams_serving: dict[str, dict[DataCentre, tuple[Upstream, ...]]] = field(
         init=False, repr=False, compare=False
     )
 
@@ -147,13 +147,16 @@
         serving: dict[str, dict[DataCentre, tuple[Upstream, ...]]] = {}
         for upstream in self.upstreams.values():
             for name in upstream.serves:
-                places = serving.setdefault(name, {})
-                places[upstream.data_centre] = (*places.get(upstream.data_centre, ()), upstream)
+                by_data_centre = serving.setdefault(name, {})
+                by_data_centre[upstream.data_centre] = (
+                    *by_data_centre.get(upstream.data_centre, ()),
+                    upstream,
+                )
         object.__setattr__(self, "_serving", serving)
 
-    def serving(self, name: str) -> dict[DataCentre, tuple[Upstream, ...]]:
+    def upstreams_serving(self, name: str) -> dict[DataCentre, tuple[Upstream, ...]]:
         """Return the upstreams that serve a model or a service, by data centre."""
-        return self._serving.get(name, {})
+        return self._upstreams_serving.get(name, {})
 
 
 def diff_sections(old: Sections, new: Sections) -> tuple[SectionChange, ...]:
@@ -278,10 +281,10 @@
     """Return a sentence for each budget whose paid total went down."""
     sentences = []
     for name, budget in new.budgets.items():
-        before = old.budgets.get(name)
-        if before is not None and budget.paid_tokens < before.paid_tokens:
+        old_budget = old.budgets.get(name)
+        if old_budget is not None and budget.paid_tokens < old_budget.paid_tokens:
             sentences.append(
-                f"budget {name}: paid_tokens {budget.paid_tokens} is below {before.paid_tokens};"
+                f"budget {name}: paid_tokens {budget.paid_tokens} is below {old_budget.paid_tokens};"
                 " it is a running total and only goes up"
             )
     return sentences
--- a/mothstand/core/demand.py
+++ b/mothstand/core/demand.py
@@ -13,7 +13,7 @@
 _LATEST_WEIGHT = 0.05
 
 #: Least time over which the first requests are spread: one alone says little of the demand.
-_LEAST_SEEN_S = 1.0
+_MIN_SEEN_S = 1.0
 
 
 @dataclass(slots=True)
@@ -36,26 +36,26 @@
     largest_tokens: int = 0
     mean_tokens: float = 0.0
     _average: float = 0.0
-    _at_s: float = -math.inf
+    _updated_s: float = -math.inf
     _first_s: float = math.inf
 
-    def ask(self, tokens: int, now_s: float) -> None:
+    def add_request(self, tokens: int, now_s: float) -> None:
         """Count a request."""
-        self._average = self._faded(now_s) + tokens / DEMAND_WINDOW_S
+        self._average = self._decayed(now_s) + tokens / DEMAND_WINDOW_S
         self.largest_tokens = max(self.largest_tokens, tokens)
         latest_weight = _LATEST_WEIGHT if self.mean_tokens else 1.0
         self.mean_tokens += latest_weight * (tokens - self.mean_tokens)
-        self._at_s = now_s
+        self._updated_s = now_s
         self._first_s = min(self._first_s, now_s)
 
-    def rate(self, now_s: float) -> float:
+    def rate_tokens_per_s(self, now_s: float) -> float:
         """Return the demand as of now."""
         if not self._average:
             return 0.0
-        seen_s = max(_LEAST_SEEN_S, now_s - self._first_s)
-        return self._faded(now_s) / (1 - math.exp(-seen_s / DEMAND_WINDOW_S))
+        seen_s = max(_MIN_SEEN_S, now_s - self._first_s)
+        return self._decayed(now_s) / (1 - math.exp(-seen_s / DEMAND_WINDOW_S))
 
-    def _faded(self, now_s: float) -> float:
+    def _decayed(self, now_s: float) -> float:
         if not self._average:
             return 0.0
-        return self._average * math.exp((self._at_s - now_s) / DEMAND_WINDOW_S)
+        return self._average * math.exp((self._updated_s - now_s) / DEMAND_WINDOW_S)
--- a/mothstand/core/escrow.py
+++ b/mothstand/core/escrow.py
@@ -53,7 +53,7 @@
     demand_window_s: float = 60.0
 
 
-class Demand:
+class SpendEstimator:
     """Estimates one budget's spend rate at one leaseholder, as an exponentially decaying rate.
 
     Parameters
@@ -70,7 +70,7 @@
         self._at_s = 0.0
         self.largest_tokens = 0
 
-    def add(self, used_tokens: int, now_s: float) -> None:
+    def add_usage(self, used_tokens: int, now_s: float) -> None:
         """Count a request's usage at `now_s`."""
         self._decay(now_s)
         self._tokens += used_tokens
@@ -110,19 +110,19 @@
     rate_tokens_per_s: float
     largest_tokens: int
     data_centres: int
-    witnessed: bool
+    has_witness: bool
 
 
 def target_tokens(policy: EscrowPolicy, view: EscrowView) -> int:
     """Return how much the epoch should hold free."""
     target = view.rate_tokens_per_s * policy.ride_through_s
-    if not view.witnessed:
+    if not view.has_witness:
         target = target * policy.unwitnessed_percent / 100
     # Room for a handful of the largest requests, lest a quiet budget asks for each one.
-    return int(max(target, _HANDFUL * view.largest_tokens))
+    return int(max(target, _MIN_LARGE_REQUESTS * view.largest_tokens))
 
 
-def ask_tokens(policy: EscrowPolicy, view: EscrowView, *, along: bool = False) -> int:
+def ask_tokens(policy: EscrowPolicy, view: EscrowView, *, shares_append: bool = False) -> int:
     """Return how many tokens to ask the log for; 0 when there is no need yet.
 
     Parameters
@@ -131,19 +131,23 @@
         Whether the ask would share the append of another budget's, and so costs none.
     """
     target = target_tokens(policy, view)
-    short = view.needed_tokens - view.free_tokens
-    below_percent = _ALONG_BELOW_PERCENT if along else policy.refill_below_percent
-    if short <= 0 and view.free_tokens * 100 >= target * below_percent:
+    shortfall = view.needed_tokens - view.free_tokens
+    below_percent = _SHARED_APPEND_BELOW_PERCENT if shares_append else policy.refill_below_percent
+    if shortfall <= 0 and view.free_tokens * 100 >= target * below_percent:
         return 0
     share = view.ungranted_tokens * policy.end_share_percent // (100 * view.data_centres)
-    handful = _HANDFUL * view.largest_tokens
-    wanted = min(target - view.free_tokens, max(share, min(view.ungranted_tokens, handful)))
-    if short <= 0 and not along and wanted * _SMALL_REFILL < min(view.free_tokens, target // 2):
+    floor = _MIN_LARGE_REQUESTS * view.largest_tokens
+    wanted = min(target - view.free_tokens, max(share, min(view.ungranted_tokens, floor)))
+    if (
+        shortfall <= 0
+        and not shares_append
+        and wanted * _MIN_REFILL_DIVISOR < min(view.free_tokens, target // 2)
+    ):
         # Near the end the target is out of reach, and asking for a little less each time would
         # cost an append for nearly every request.
         return 0
     # What waits now is asked for in full: the fold grants no more than there is.
-    return max(wanted, short, 0)
+    return max(wanted, shortfall, 0)
 
 
 def promotion_share_tokens(percent: int, granted_tokens: int, largest_tokens: int) -> int:
@@ -155,11 +159,13 @@
     """
     if percent == 0:
         return 0
-    floor = min(_SHARE_REQUESTS * largest_tokens, granted_tokens // 4)
+    floor = min(_MIN_PROMOTION_REQUESTS * largest_tokens, granted_tokens // 4)
     return max(granted_tokens * percent // 100, floor)
 
 
-def gives_way(budget: BudgetName, here: DataCentre, waiting: Iterable[DataCentre]) -> bool:
+def should_give_all(
+    budget: BudgetName, data_centre: DataCentre, waiting: Iterable[DataCentre]
+) -> bool:
     """Return whether a data centre that waits for escrow itself should give all it has free.
 
     Notes
@@ -169,10 +175,10 @@
     give way; the budget's name decides who, so that all decide alike.
     """
     order = rank(waiting, budget)
-    return here in order and here != order[0]
+    return data_centre in order and data_centre != order[0]
 
 
-def surplus_tokens(policy: EscrowPolicy, view: EscrowView, unmet_tokens: int) -> int:
+def surplus_tokens(policy: EscrowPolicy, view: EscrowView, unfulfilled_tokens: int) -> int:
     """Return how many free tokens to give back for another data centre's unmet ask.
 
     Notes
@@ -181,23 +187,23 @@
     once leave each other with something. Not just what is asked for, which is what waits right
     now: moving costs a second and two appends, too much for one request at a time.
     """
-    if unmet_tokens <= 0:
+    if unfulfilled_tokens <= 0:
         return 0
-    soon_tokens = max(int(view.rate_tokens_per_s * _KEEP_S), view.needed_tokens)
-    return max(0, (view.free_tokens - soon_tokens) // 2)
+    withheld_tokens = max(int(view.rate_tokens_per_s * _WITHHELD_DEMAND_S), view.needed_tokens)
+    return max(0, (view.free_tokens - withheld_tokens) // 2)
 
 
 #: Large requests that a quiet budget has room for.
-_HANDFUL = 4
+_MIN_LARGE_REQUESTS = 4
 
 #: Large requests that a promotion share covers, if the grant is not too small for it.
-_SHARE_REQUESTS = 4
+_MIN_PROMOTION_REQUESTS = 4
 
 #: A budget that asks along with another does so below this share of its target.
-_ALONG_BELOW_PERCENT = 97
+_SHARED_APPEND_BELOW_PERCENT = 97
 
 #: A refill of less than one in so many of the free tokens is not worth an append.
-_SMALL_REFILL = 4
+_MIN_REFILL_DIVISOR = 4
 
 #: Seconds of own demand that are kept when another data centre asks.
-_KEEP_S = 2.0
+_WITHHELD_DEMAND_S = 2.0
--- a/mothstand/core/event_stream.py
+++ b/mothstand/core/event_stream.py
@@ -5,8 +5,8 @@
 import re
 from dataclasses import dataclass, field
 
-_END = re.compile(rb"\r\n\r\n|\n\n|\r\r")
-_ID = re.compile(rb"(?:^|[\r\n])id:[ ]?([^\r\n]*)")
+_EVENT_END = re.compile(rb"\r\n\r\n|\n\n|\r\r")
+_EVENT_ID = re.compile(rb"(?:^|[\r\n])id:[ ]?([^\r\n]*)")
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,25 +33,25 @@
     half an event with the caller, to which another upstream's events cannot be joined.
     """
 
-    _rest: bytes = b""
+    _buffer: bytes = b""
 
     def feed(self, data: bytes) -> list[ServerEvent]:
         """Return the events that are whole now."""
-        self._rest += data
+        self._buffer += data
         events = []
         start = 0
-        for end in _END.finditer(self._rest):
-            raw = self._rest[start : end.end()]
-            found = _ID.search(raw)
-            events.append(ServerEvent(raw, found.group(1).decode("latin-1") if found else ""))
+        for end in _EVENT_END.finditer(self._buffer):
+            raw = self._buffer[start : end.end()]
+            id_match = _EVENT_ID.search(raw)
+            events.append(ServerEvent(raw, id_match.group(1).decode("latin-1") if id_match else ""))
             start = end.end()
-        self._rest = self._rest[start:]
+        self._buffer = self._buffer[start:]
         return events
 
     @property
     def is_between_events(self) -> bool:
         """Whether the body so far ends with a whole event."""
-        return not self._rest.strip()
+        return not self._buffer.strip()
 
 
 @dataclass(slots=True)
@@ -67,25 +67,25 @@
     """
 
     last_event_id: str = ""
-    events: int = 0
+    sent_events: int = 0
     splitter: EventSplitter = field(default_factory=EventSplitter)
 
     def restart(self) -> None:
         """Forget half an event, before another upstream goes on."""
         self.splitter = EventSplitter()
 
-    def take(self, data: bytes) -> bytes:
+    def feed(self, data: bytes) -> bytes:
         """Return what to pass on of a piece of a body: whole events that the caller lacks."""
-        passed = []
+        new_events = []
         for event in self.splitter.feed(data):
-            if self._has(event):
+            if self._was_sent(event):
                 continue
-            passed.append(event.raw)
-            self.events += 1
+            new_events.append(event.raw)
+            self.sent_events += 1
             self.last_event_id = event.event_id or self.last_event_id
-        return b"".join(passed)
+        return b"".join(new_events)
 
-    def _has(self, event: ServerEvent) -> bool:
+    def _was_sent(self, event: ServerEvent) -> bool:
         """Return whether an event was passed on before, by its number."""
         if not (event.event_id.isdecimal() and self.last_event_id.isdecimal()):
             return False
--- a/mothstand/core/intents.py
+++ b/mothstand/core/intents.py
@@ -42,8 +42,8 @@
         How many claims are remembered, the latest ones. A retry after that is a new request.
     """
 
-    def __init__(self, kept_records: int = 200_000) -> None:
-        self._kept_records = kept_records
+    def __init__(self, max_records: int = 200_000) -> None:
+        self._max_records = max_records
         self._intents: dict[str, Intent] = {}
         self._last_sequence: dict[str, int] = {}
 
@@ -61,18 +61,18 @@
             return refused("appended before, under the same record id")
         self._last_sequence[author] = record.record_id.sequence
         if isinstance(record, RunIntended):
-            return self._claim(offset, record)
-        return self._end(record)
+            return self._apply_claim(offset, record)
+        return self._apply_end(record)
 
-    def _claim(self, offset: int, record: RunIntended) -> Outcome:
+    def _apply_claim(self, offset: int, record: RunIntended) -> Outcome:
         if record.request_key in self._intents:
             return refused("claimed before")
         self._intents[record.request_key] = Intent(record.owner, record.body_digest, offset)
-        while len(self._intents) > self._kept_records:
+        while len(self._intents) > self._max_records:
             del self._intents[next(iter(self._intents))]
         return ACCEPTED
 
-    def _end(self, record: RunEnded) -> Outcome:
+    def _apply_end(self, record: RunEnded) -> Outcome:
         intent = self._intents.get(record.request_key)
         if intent is None or intent.owner.incarnation != record.record_id.author:
             return refused("only the claim's owner ends it")
--- a/mothstand/core/leadership.py
+++ b/mothstand/core/leadership.py
@@ -34,7 +34,9 @@
     witness: Member | None
     reason: str
 
-    def record(self, record_id: RecordId, fold: LedgerFold, membership: Membership) -> EpochOpened:
+    def to_record(
+        self, record_id: RecordId, fold: LedgerFold, membership: Membership
+    ) -> EpochOpened:
         """Return the plan as a log record."""
         return EpochOpened(
             record_id=record_id,
@@ -57,16 +59,16 @@
       opens the next epoch with that one. The witness of an open epoch never changes: a holder
       that picked a new one could spend what the old one has sealed and returned.
     """
-    alive = membership.alive_here(now_s)
+    alive = membership.local_alive(now_s)
     state = fold.current_epoch(membership.data_centre)
     order = rank_for_shard(alive, membership.data_centre, fold.shard)
     if state is None:
-        return _lead_if_first(order, alive, membership, NO_EPOCH, "no epoch yet")
-    if not state.closed and membership.is_staying(state.holder, now_s):
-        return _replace_witness(state, order, alive, membership, now_s)
-    reason = "holder closed it" if state.closed else "holder is silent or leaving"
+        return _plan_if_first(order, alive, membership, NO_EPOCH, "no epoch yet")
+    if not state.is_closed and membership.is_alive_and_not_stopping(state.holder, now_s):
+        return _plan_new_witness(state, order, alive, membership, now_s)
+    reason = "holder closed it" if state.is_closed else "holder is silent or leaving"
     order = _witness_first(order, state, membership, now_s)
-    return _lead_if_first(order, alive, membership, state.epoch, reason)
+    return _plan_if_first(order, alive, membership, state.epoch, reason)
 
 
 def _witness_first(
@@ -78,33 +80,33 @@
     return [witness.name, *(name for name in order if name != witness.name)]
 
 
-def _lead_if_first(
+def _plan_if_first(
     order: list[str],
     alive: dict[str, Member],
     membership: Membership,
     prior: Epoch,
     reason: str,
 ) -> EpochPlan | None:
-    if not order or order[0] != membership.me.name:
+    if not order or order[0] != membership.local_member.name:
         return None
     witness = alive[order[1]] if len(order) > 1 else None
-    return EpochPlan(prior, membership.me, witness, reason)
+    return EpochPlan(prior, membership.local_member, witness, reason)
 
 
-def _replace_witness(
+def _plan_new_witness(
     state: EpochState,
     order: list[str],
     alive: dict[str, Member],
     membership: Membership,
     now_s: float,
 ) -> EpochPlan | None:
-    if state.holder != membership.me:
+    if state.holder != membership.local_member:
         return None
-    if state.witness is not None and membership.is_staying(state.witness, now_s):
+    if state.witness is not None and membership.is_alive_and_not_stopping(state.witness, now_s):
         return None
-    others = [name for name in order if name != membership.me.name]
+    others = [name for name in order if name != membership.local_member.name]
     if others:
-        return EpochPlan(state.epoch, membership.me, alive[others[0]], "new witness")
+        return EpochPlan(state.epoch, membership.local_member, alive[others[0]], "new witness")
     if state.witness is not None:
-        return EpochPlan(state.epoch, membership.me, None, "witness is silent")
+        return EpochPlan(state.epoch, membership.local_member, None, "witness is silent")
     return None
--- a/mothstand/core/ledger_fold.py
+++ b/mothstand/core/ledger_fold.py
@@ -32,10 +32,10 @@
 )
 
 #: Epochs of a data centre that are kept one by one, so that late settlements still count.
-KEPT_EPOCHS = 4
+RETAINED_EPOCHS = 4
 
 #: Authors in a snapshot whose last sequence number is kept; older ones have long gone.
-KEPT_AUTHORS = 10_000
+MAX_SNAPSHOT_AUTHORS = 10_000
 
 
 class LedgerFold:
@@ -52,10 +52,10 @@
         self.offset = 0
         self.paid_tokens: dict[BudgetName, int] = {}
         self.epochs: dict[Epoch, EpochState] = {}
-        self.current: dict[DataCentre, Epoch] = {}
-        self.unmet: dict[BudgetName, dict[DataCentre, int]] = {}
-        self._retired: dict[BudgetName, int] = {}
-        self._consumed: dict[BudgetName, int] = {}
+        self.current_epochs: dict[DataCentre, Epoch] = {}
+        self.unfulfilled_tokens: dict[BudgetName, dict[DataCentre, int]] = {}
+        self._retired_tokens: dict[BudgetName, int] = {}
+        self._consumed_tokens: dict[BudgetName, int] = {}
         self._last_sequence: dict[str, int] = {}
 
     def apply(self, offset: int, record: LedgerRecord) -> Outcome:
@@ -64,36 +64,36 @@
         Records must come in the order of the stream; several may share one offset.
         """
         self.offset = max(self.offset, offset)
-        if not self._is_new(record.record_id):
+        if not self._accept_sequence(record.record_id):
             return refused("appended before, under the same record id")
         match record:
             case BudgetPaid():
-                return self._pay(record)
+                return self._apply_payment(record)
             case EpochOpened():
-                return self._open(Epoch(offset), record)
+                return self._open_epoch(Epoch(offset), record)
             case GrantAsked():
-                return self._grant(record)
+                return self._apply_asks(record)
             case EscrowReturned():
-                return self._return(record)
+                return self._return_escrow(record)
             case EpochClosed():
-                return self._close(record)
+                return self._close_epoch(record)
             case EpochReleased():
-                return self._release(record)
+                return self._release_epoch(record)
 
     def current_epoch(self, data_centre: DataCentre) -> EpochState | None:
         """Return the data centre's current epoch, or None before its first."""
-        epoch = self.current.get(data_centre)
+        epoch = self.current_epochs.get(data_centre)
         return None if epoch is None else self.epochs[epoch]
 
     def retired_tokens(self, budget: BudgetName) -> int:
         """Return what epochs consumed that are kept only as a sum."""
-        return self._retired.get(budget, 0)
+        return self._retired_tokens.get(budget, 0)
 
     def ungranted_tokens(self, budget: BudgetName) -> int:
         """Return what is paid and in no epoch's hands."""
-        return self.paid_tokens.get(budget, 0) - self._consumed.get(budget, 0)
+        return self.paid_tokens.get(budget, 0) - self._consumed_tokens.get(budget, 0)
 
-    def reported_tokens(self, budget: BudgetName, *, without: Epoch = NO_EPOCH) -> int:
+    def reported_tokens(self, budget: BudgetName, *, excluded_epoch: Epoch = NO_EPOCH) -> int:
         """Return a lower bound of what the epochs have spent of a budget.
 
         Parameters
@@ -101,13 +101,13 @@
         without
             An epoch to leave out, whose account the caller has at hand.
         """
-        total = self._retired.get(budget, 0)
+        total = self._retired_tokens.get(budget, 0)
         for state in self.epochs.values():
             grant = state.grants.get(budget)
-            if grant is None or state.epoch == without:
+            if grant is None or state.epoch == excluded_epoch:
                 continue
             # Until both sides closed, the last report is the only lower bound.
-            total += state.consumed_tokens(budget) if state.settled else grant.reported_tokens
+            total += state.consumed_tokens(budget) if state.is_settled else grant.reported_tokens
         return total
 
     def stranded_tokens(self, budget: BudgetName) -> int:
@@ -124,27 +124,27 @@
         return [
             state
             for epoch, state in sorted(self.epochs.items())
-            if self.current.get(state.data_centre) != epoch and not state.settled
+            if self.current_epochs.get(state.data_centre) != epoch and not state.is_settled
         ]
 
-    def _is_new(self, record_id: RecordId) -> bool:
+    def _accept_sequence(self, record_id: RecordId) -> bool:
         last = self._last_sequence.get(record_id.author, 0)
         if record_id.sequence <= last:
             return False
         self._last_sequence[record_id.author] = record_id.sequence
         return True
 
-    def _pay(self, record: BudgetPaid) -> Outcome:
+    def _apply_payment(self, record: BudgetPaid) -> Outcome:
         paid = self.paid_tokens.get(record.budget, 0)
         if record.paid_tokens <= paid:
             return refused(f"paid_tokens {record.paid_tokens} is not above {paid}")
         self.paid_tokens[record.budget] = record.paid_tokens
         return ACCEPTED
 
-    def _open(self, epoch: Epoch, record: EpochOpened) -> Outcome:
+    def _open_epoch(self, epoch: Epoch, record: EpochOpened) -> Outcome:
         if record.shard != self.shard:
             return refused(f"shard {record.shard} is not shard {self.shard}")
-        current = self.current.get(record.data_centre, NO_EPOCH)
+        current = self.current_epochs.get(record.data_centre, NO_EPOCH)
         if record.prior_epoch != current:
             return refused(f"prior epoch {record.prior_epoch} is not the current {current}")
         if epoch in self.epochs:
@@ -156,20 +156,22 @@
             witness=record.witness,
             prior_epoch=record.prior_epoch,
         )
-        self.current[record.data_centre] = epoch
-        self._retire(record.data_centre)
+        self.current_epochs[record.data_centre] = epoch
+        self._retire_epochs(record.data_centre)
         return ACCEPTED
 
-    def _retire(self, data_centre: DataCentre) -> None:
+    def _retire_epochs(self, data_centre: DataCentre) -> None:
         """Keep only the sum of old settled epochs, so that memory does not grow with takeovers."""
-        mine = sorted(e for e, state in self.epochs.items() if state.data_centre == data_centre)
-        for epoch in mine[:-KEPT_EPOCHS]:
+        own_epochs = sorted(
+            e for e, state in self.epochs.items() if state.data_centre == data_centre
+        )
+        for epoch in own_epochs[:-RETAINED_EPOCHS]:
             state = self.epochs[epoch]
-            if not state.settled:
+            if not state.is_settled:
                 continue
             for budget in state.grants:
                 consumed = state.consumed_tokens(budget)
-                self._retired[budget] = self._retired.get(budget, 0) + consumed
+                self._retired_tokens[budget] = self._retired_tokens.get(budget, 0) + consumed
             del self.epochs[epoch]
 
     def snapshot(self, record_id: RecordId) -> LedgerSnapshot:
@@ -178,10 +180,10 @@
             record_id=record_id,
             at_offset=self.offset,
             paid=tuple(sorted(self.paid_tokens.items())),
-            retired=tuple(sorted(self._retired.items())),
+            retired=tuple(sorted(self._retired_tokens.items())),
             epochs=tuple(epoch_image(state) for _, state in sorted(self.epochs.items())),
-            current=tuple(sorted(self.current.items())),
-            last_sequences=tuple(self._last_sequence.items())[-KEPT_AUTHORS:],
+            current=tuple(sorted(self.current_epochs.items())),
+            last_sequences=tuple(self._last_sequence.items())[-MAX_SNAPSHOT_AUTHORS:],
         )
 
     @classmethod
@@ -190,28 +192,28 @@
         fold = cls(shard)
         fold.offset = snapshot.at_offset
         fold.paid_tokens = dict(snapshot.paid)
-        fold._retired = dict(snapshot.retired)
+        fold._retired_tokens = dict(snapshot.retired)
         fold.epochs = {image.epoch: epoch_state(image) for image in snapshot.epochs}
-        fold.current = dict(snapshot.current)
+        fold.current_epochs = dict(snapshot.current)
         fold._last_sequence = dict(snapshot.last_sequences)
-        fold._consumed = dict(fold._retired)
+        fold._consumed_tokens = dict(fold._retired_tokens)
         for state in fold.epochs.values():
             for budget in state.grants:
-                consumed = fold._consumed.get(budget, 0) + state.consumed_tokens(budget)
-                fold._consumed[budget] = consumed
+                consumed = fold._consumed_tokens.get(budget, 0) + state.consumed_tokens(budget)
+                fold._consumed_tokens[budget] = consumed
         return fold
 
-    def _grant(self, record: GrantAsked) -> Outcome:
+    def _apply_asks(self, record: GrantAsked) -> Outcome:
         state = self.epochs.get(record.epoch)
-        if state is None or self.current.get(state.data_centre) != record.epoch:
+        if state is None or self.current_epochs.get(state.data_centre) != record.epoch:
             return refused(f"epoch {record.epoch} is not current")
-        if state.closed:
+        if state.is_closed:
             return refused(f"epoch {record.epoch} is closed")
         for ask in record.asks:
-            self._grant_one(state, ask)
+            self._grant_ask(state, ask)
         return ACCEPTED
 
-    def _grant_one(self, state: EpochState, ask: GrantAsk) -> None:
+    def _grant_ask(self, state: EpochState, ask: GrantAsk) -> None:
         grant = state.grants.setdefault(ask.budget, Grant())
         grant.reported_tokens = max(grant.reported_tokens, ask.spent_tokens)
         wanted = max(0, ask.tokens)
@@ -220,20 +222,20 @@
         allowance = min(given, max(0, ask.allowance_tokens))
         grant.allowance_tokens += allowance
         grant.promotion_tokens += min(given - allowance, max(0, ask.promotion_tokens))
-        self._consumed[ask.budget] = self._consumed.get(ask.budget, 0) + given
-        self._note_unmet(ask.budget, state.data_centre, wanted - given)
+        self._consumed_tokens[ask.budget] = self._consumed_tokens.get(ask.budget, 0) + given
+        self._set_unfulfilled(ask.budget, state.data_centre, wanted - given)
 
-    def _note_unmet(self, budget: BudgetName, data_centre: DataCentre, tokens: int) -> None:
-        waiting = self.unmet.setdefault(budget, {})
-        waiting.pop(data_centre, None)
+    def _set_unfulfilled(self, budget: BudgetName, data_centre: DataCentre, tokens: int) -> None:
+        by_data_centre = self.unfulfilled_tokens.setdefault(budget, {})
+        by_data_centre.pop(data_centre, None)
         if tokens > 0:
-            waiting[data_centre] = tokens
-        if not waiting:
-            del self.unmet[budget]
+            by_data_centre[data_centre] = tokens
+        if not by_data_centre:
+            del self.unfulfilled_tokens[budget]
 
-    def _return(self, record: EscrowReturned) -> Outcome:
+    def _return_escrow(self, record: EscrowReturned) -> Outcome:
         state = self.epochs.get(record.epoch)
-        if state is None or state.closed:
+        if state is None or state.is_closed:
             # A side that closed counted these tokens as spent; giving them back now would count
             # them twice.
             return refused(f"epoch {record.epoch} is closed or unknown")
@@ -242,81 +244,83 @@
         if grant is None or not 0 < record.tokens <= held:
             return refused(f"returned tokens {record.tokens} are not within the {held} held")
         grant.returned_tokens += record.tokens
-        self._consumed[record.budget] -= record.tokens
+        self._consumed_tokens[record.budget] -= record.tokens
         return ACCEPTED
 
-    def _close(self, record: EpochClosed) -> Outcome:
+    def _close_epoch(self, record: EpochClosed) -> Outcome:
         state = self.epochs.get(record.epoch)
         if state is None:
             return refused(f"epoch {record.epoch} is unknown")
-        speaker = state.holder if record.side is Side.HOLDER else state.witness
-        if speaker is None or speaker.incarnation != record.record_id.author:
+        member = state.holder if record.side is Side.HOLDER else state.witness
+        if member is None or member.incarnation != record.record_id.author:
             # A process restarted at the same address remembers nothing and would vouch for
             # "nothing spent".
             return refused(f"author is not the epoch's {record.side.value}")
         if state.released:
             # The declared spend is one sum: a side that wakes could only take its own part off it.
             return refused(f"epoch {record.epoch} was released")
-        self._add_consumed(state, sign=-1)
-        self._take_spends(state, record)
-        self._add_consumed(state, sign=1)
+        self._adjust_consumed(state, sign=-1)
+        self._apply_spends(state, record)
+        self._adjust_consumed(state, sign=1)
         return ACCEPTED
 
-    def _add_consumed(self, state: EpochState, *, sign: int) -> None:
+    def _adjust_consumed(self, state: EpochState, *, sign: int) -> None:
         """Take an epoch out of the budgets' sums (-1), before its sides change, or back in (1)."""
         for budget in state.grants:
-            self._consumed[budget] += sign * state.consumed_tokens(budget)
+            self._consumed_tokens[budget] += sign * state.consumed_tokens(budget)
 
-    def _release(self, record: EpochReleased) -> Outcome:
+    def _release_epoch(self, record: EpochReleased) -> Outcome:
         """Take an operator's word in place of the silent sides'."""
         state = self.epochs.get(record.epoch)
         if state is None:
             return refused(f"epoch {record.epoch} is unknown")
-        if self.current.get(state.data_centre) == record.epoch:
+        if self.current_epochs.get(state.data_centre) == record.epoch:
             return refused(f"epoch {record.epoch} is current: its leaseholder may spend")
-        if state.settled:
+        if state.is_settled:
             return refused(f"epoch {record.epoch} holds nothing back")
         declared = {spent.budget: spent.tokens for spent in record.spent}
         for budget, grant in state.grants.items():
-            least = grant.least_spent_tokens()
-            most = grant.granted_tokens - grant.returned_tokens
-            if not least <= declared.get(budget, 0) <= most:
-                said = declared.get(budget, 0)
-                return refused(f"{budget}: {said} spent is not within {least} to {most}")
-        self._add_consumed(state, sign=-1)
+            min_tokens = grant.min_spent_tokens()
+            max_tokens = grant.granted_tokens - grant.returned_tokens
+            if not min_tokens <= declared.get(budget, 0) <= max_tokens:
+                declared_tokens = declared.get(budget, 0)
+                return refused(
+                    f"{budget}: {declared_tokens} spent is not within {min_tokens} to {max_tokens}"
+                )
+        self._adjust_consumed(state, sign=-1)
         for budget, grant in state.grants.items():
             # The sides count what was returned as spent.
             tokens = declared.get(budget, 0) + grant.returned_tokens
             grant.holder = grant.witness = BudgetSpend(budget, tokens, 0)
         state.holder_closed = state.witness_closed = state.released = True
-        self._add_consumed(state, sign=1)
+        self._adjust_consumed(state, sign=1)
         return ACCEPTED
 
-    def _take_spends(self, state: EpochState, record: EpochClosed) -> None:
+    def _apply_spends(self, state: EpochState, record: EpochClosed) -> None:
         if record.side is Side.HOLDER:
-            first = not state.holder_closed
+            is_first = not state.holder_closed
             state.holder_closed = True
         else:
-            first = not state.witness_closed
+            is_first = not state.witness_closed
             state.witness_closed = True
         for spend in record.spends:
             grant = state.grants.get(spend.budget)
             if grant is None:
                 continue
-            said = grant.holder if record.side is Side.HOLDER else grant.witness
-            kept = spend if first or said is None else _lower(said, spend)
-            if not first and said is None:
+            earlier = grant.holder if record.side is Side.HOLDER else grant.witness
+            lowest = spend if is_first or earlier is None else _min_spend(earlier, spend)
+            if not is_first and earlier is None:
                 continue
             if record.side is Side.HOLDER:
-                grant.holder = kept
+                grant.holder = lowest
             else:
-                grant.witness = kept
+                grant.witness = lowest
 
 
-def _lower(said: BudgetSpend, now: BudgetSpend) -> BudgetSpend:
+def _min_spend(earlier: BudgetSpend, later: BudgetSpend) -> BudgetSpend:
     """Return the smaller of two reports of one side; settling only ever lowers a closed side."""
     return BudgetSpend(
-        budget=said.budget,
-        witnessed_tokens=min(said.witnessed_tokens, now.witnessed_tokens),
-        own_tokens=min(said.own_tokens, now.own_tokens),
+        budget=earlier.budget,
+        witnessed_tokens=min(earlier.witnessed_tokens, later.witnessed_tokens),
+        own_tokens=min(earlier.own_tokens, later.own_tokens),
     )
--- a/mothstand/core/ledger_state.py
+++ b/mothstand/core/ledger_state.py
@@ -64,17 +64,17 @@
             spent += holder.own_tokens + witness.own_tokens
         return min(self.granted_tokens, spent) - self.returned_tokens
 
-    def least_spent_tokens(self) -> int:
+    def min_spent_tokens(self) -> int:
         """Return the least that may be declared as spent, without what was returned.
 
         A closed side's word counts whole, though it is an upper bound of the witnessed part.
         """
-        said = [
+        side_tokens = [
             side.witnessed_tokens + side.own_tokens - self.returned_tokens
             for side in (self.holder, self.witness)
             if side is not None
         ]
-        return max([self.reported_tokens, *said])
+        return max([self.reported_tokens, *side_tokens])
 
 
 _NOTHING_SPENT = BudgetSpend(budget=BudgetName(""), witnessed_tokens=0, own_tokens=0)
@@ -95,16 +95,16 @@
     released: bool = False
 
     @property
-    def closed(self) -> bool:
+    def is_closed(self) -> bool:
         """Whether either side has closed it: no grant is added any more."""
         return self.holder_closed or self.witness_closed
 
     @property
-    def settled(self) -> bool:
+    def is_settled(self) -> bool:
         """Whether every side that exists has closed it, so that nothing is held back."""
         return self.holder_closed and (self.witness_closed or self.witness is None)
 
-    def silent(self) -> list[Member]:
+    def unclosed_members(self) -> list[Member]:
         """Return the processes that have not closed their sides."""
         sides = ((self.holder, self.holder_closed), (self.witness, self.witness_closed))
         return [member for member, closed in sides if member is not None and not closed]
@@ -115,9 +115,9 @@
         if grant is None:
             return 0
         # An epoch without a witness has nobody else to hear.
-        alone = self.witness is None and self.holder_closed
+        is_unwitnessed = self.witness is None and self.holder_closed
         return grant.consumed_tokens(
-            holder_closed=self.holder_closed, witness_closed=self.witness_closed or alone
+            holder_closed=self.holder_closed, witness_closed=self.witness_closed or is_unwitnessed
         )
 
 
@@ -136,7 +136,7 @@
         witness_closed=state.witness_closed,
         released=state.released,
         grants=tuple(
-            GrantImage(budget=budget, **_values(grant))
+            GrantImage(budget=budget, **_grant_values(grant))
             for budget, grant in sorted(state.grants.items())
         ),
     )
@@ -153,9 +153,9 @@
         holder_closed=image.holder_closed,
         witness_closed=image.witness_closed,
         released=image.released,
-        grants={grant.budget: Grant(**_values(grant)) for grant in image.grants},
+        grants={grant.budget: Grant(**_grant_values(grant)) for grant in image.grants},
     )
 
 
-def _values(grant: Grant | GrantImage) -> dict[str, Any]:
+def _grant_values(grant: Grant | GrantImage) -> dict[str, Any]:
     return {name: getattr(grant, name) for name in _GRANT_FIELDS}
--- a/mothstand/core/load_report.py
+++ b/mothstand/core/load_report.py
@@ -15,7 +15,7 @@
 LOAD_FORMAT = "JSON"
 
 
-class _Named(BaseModel):
+class _NamedMetrics(BaseModel):
     model_config = ConfigDict(extra="ignore")
     num_requests_running: float = Field(ge=0, le=1e6)
     num_requests_waiting: float = Field(ge=0, le=1e6)
@@ -23,7 +23,7 @@
 
 class _Metrics(BaseModel):
     model_config = ConfigDict(extra="ignore")
-    named_metrics: _Named
+    named_metrics: _NamedMetrics
 
 
 def read_load(header: str) -> int | None:
@@ -34,11 +34,11 @@
     >>> read_load('JSON {"named_metrics": {"num_requests_running": 3, "num_requests_waiting": 1}}')
     4
     """
-    form, _, text = header.partition(" ")
-    if form != LOAD_FORMAT:
+    format_name, _, text = header.partition(" ")
+    if format_name != LOAD_FORMAT:
         return None
     try:
-        named = _Metrics.model_validate_json(text).named_metrics
+        metrics = _Metrics.model_validate_json(text).named_metrics
     except ValidationError:
         return None
-    return int(named.num_requests_running + named.num_requests_waiting)
+    return int(metrics.num_requests_running + metrics.num_requests_waiting)
--- a/mothstand/core/loans.py
+++ b/mothstand/core/loans.py
@@ -18,15 +18,15 @@
 
 #: Loans that a lender remembers, so that a repeated call moves tokens once. A caller repeats
 #: within a minute; ten a second for that long are far more than instances ask for.
-_MOST_REMEMBERED = 5000
+_MAX_REMEMBERED_LOANS = 5000
 
 #: A peer that did not answer is not asked again for this long: each further try would cost the
 #: waiting request another timeout.
-PEER_PAUSE_S = 2.0
+UNRESPONSIVE_PEER_PAUSE_S = 2.0
 
 
 @dataclass(slots=True)
-class LoanBook:
+class LoanLog:
     """The loans that this instance has given, and what was left to it.
 
     Notes
@@ -36,15 +36,15 @@
     first loan would be lost to everyone.
     """
 
-    _given: OrderedDict[str, int] = field(default_factory=OrderedDict)
-    _taken: OrderedDict[str, int] = field(default_factory=OrderedDict)
+    _given_tokens: OrderedDict[str, int] = field(default_factory=OrderedDict)
+    _received_tokens: OrderedDict[str, int] = field(default_factory=OrderedDict)
 
     def take_over(self, held: HeldBudget, loan_id: str, tokens: int) -> int:
         """Add tokens that another instance has taken out for this one, once; return how many."""
-        if loan_id in self._taken:
+        if loan_id in self._received_tokens:
             return 0
         held.receive(tokens)
-        _remember(self._taken, loan_id, tokens)
+        _remember(self._received_tokens, loan_id, tokens)
         return tokens
 
     def lend(
@@ -52,24 +52,24 @@
         held: HeldBudget,
         loan_id: str,
         *,
-        kept_tokens: int,
+        withheld_tokens: int,
         needed_tokens: int,
         extra_tokens: int,
     ) -> int:
         """Take tokens out of what is held, and return how many."""
-        if loan_id in self._given:
-            return self._given[loan_id]
-        spare = max(0, held.available_tokens - kept_tokens)
+        if loan_id in self._given_tokens:
+            return self._given_tokens[loan_id]
+        spare = max(0, held.available_tokens - withheld_tokens)
         share = int(spare * EXTRA_SHARE)
         wanted = max(needed_tokens, min(needed_tokens + extra_tokens, share))
         given = held.give(min(wanted, spare))
-        _remember(self._given, loan_id, given)
+        _remember(self._given_tokens, loan_id, given)
         return given
 
 
 def _remember(loans: OrderedDict[str, int], loan_id: str, tokens: int) -> None:
     loans[loan_id] = tokens
-    while len(loans) > _MOST_REMEMBERED:
+    while len(loans) > _MAX_REMEMBERED_LOANS:
         loans.popitem(last=False)
 
 
@@ -91,33 +91,33 @@
 
 
 #: Holders that a lender names at most: more than one loan is seldom put together of.
-_MOST_NAMED = 4
+_MAX_NAMED_HOLDERS = 4
 
 #: A holder whose claims have not changed for this long may have gone.
-_HELD_FOR_S = 4.0
+_STALE_AFTER_S = 4.0
 
 
 def holdings(
-    table: ClaimTable, budget: BudgetName, me: Holder, now_s: float
+    table: ClaimTable, budget: BudgetName, local_holder: Holder, now_s: float
 ) -> tuple[Holding, ...]:
     """Return what others hold of a budget by their claims, most first."""
     others = [
         Holding(holder.instance, claim.held_tokens)
         for holder, claim in table.claims[budget].items()
-        if holder != me
+        if holder != local_holder
         and claim.held_tokens > 0
-        and now_s - table.read_at_s.get(holder, 0.0) < _HELD_FOR_S
+        and now_s - table.changed_at_s.get(holder, 0.0) < _STALE_AFTER_S
     ]
-    return tuple(sorted(others, key=lambda h: -h.tokens)[:_MOST_NAMED])
+    return tuple(sorted(others, key=lambda h: -h.tokens)[:_MAX_NAMED_HOLDERS])
 
 
-def next_asked(peers: list[Peer], named: tuple[Holding, ...]) -> list[Peer]:
+def peers_with_holdings(peers: list[Peer], named_holdings: tuple[Holding, ...]) -> list[Peer]:
     """Return those of the peers that hold some, most first.
 
     A borrower knows no claims. Asked one after the other, all lenders of a budget that is used up
     cost it the whole time that a request may wait, and it refuses all the same.
     """
-    tokens = {holding.instance: holding.tokens for holding in named}
+    tokens = {holding.instance: holding.tokens for holding in named_holdings}
     holders = [peer for peer in peers if peer.instance in tokens]
     return sorted(holders, key=lambda peer: -tokens[peer.instance])
 
@@ -126,8 +126,8 @@
 class PeerChoice:
     """Whom to ask for a loan: who is believed to hold most, and answers."""
 
-    _silent_until_s: dict[str, float] = field(default_factory=dict)
-    _dry_until_s: dict[tuple[str, str], float] = field(default_factory=dict)
+    _unresponsive_until_s: dict[str, float] = field(default_factory=dict)
+    _empty_until_s: dict[tuple[str, str], float] = field(default_factory=dict)
 
     def order(
         self, peers: list[Peer], table: ClaimTable, budget: BudgetName, now_s: float
@@ -140,25 +140,25 @@
             claim = claims.get(Holder(peer.instance, peer.incarnation))
             return 0 if claim is None else claim.claimed_tokens - claim.spent_tokens
 
-        asked = [
+        candidates = [
             p
-            for p in self.answering(peers, now_s)
-            if self._dry_until_s.get((p.instance, budget), 0.0) <= now_s
+            for p in self.responsive(peers, now_s)
+            if self._empty_until_s.get((p.instance, budget), 0.0) <= now_s
         ]
-        return sorted(asked, key=unspent, reverse=True)
+        return sorted(candidates, key=unspent, reverse=True)
 
-    def answering(self, peers: list[Peer], now_s: float) -> list[Peer]:
+    def responsive(self, peers: list[Peer], now_s: float) -> list[Peer]:
         """Return the peers without those that did not answer a moment ago."""
-        return [p for p in peers if self._silent_until_s.get(p.instance, 0.0) <= now_s]
+        return [p for p in peers if self._unresponsive_until_s.get(p.instance, 0.0) <= now_s]
 
-    def silent(self, peer: Peer, now_s: float) -> None:
+    def mark_unresponsive(self, peer: Peer, now_s: float) -> None:
         """Note that a peer did not answer."""
-        self._silent_until_s[peer.instance] = now_s + PEER_PAUSE_S
+        self._unresponsive_until_s[peer.instance] = now_s + UNRESPONSIVE_PEER_PAUSE_S
 
-    def dry(self, peer: Peer, budget: BudgetName, now_s: float) -> None:
+    def mark_empty(self, peer: Peer, budget: BudgetName, now_s: float) -> None:
         """Note that a peer had nothing of a budget; requests that end there free some again."""
-        self._dry_until_s[peer.instance, budget] = now_s + DRY_PAUSE_S
+        self._empty_until_s[peer.instance, budget] = now_s + EMPTY_PEER_PAUSE_S
 
 
 #: A peer that had nothing is not asked again for this long; about as long as a request runs.
-DRY_PAUSE_S = 0.3
+EMPTY_PEER_PAUSE_S = 0.3
--- a/mothstand/core/membership.py
+++ b/mothstand/core/membership.py
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ProbePace:
+class ProbeRates:
     """How often peers are probed.
 
     Parameters
@@ -49,12 +49,12 @@
         Probes a second that all other peers share.
     """
 
-    partner_s: float
-    others_per_s: float
+    partner_interval_s: float
+    other_probes_per_s: float
 
 
 #: A probe may go out this early, lest it waits for another whole round.
-_EARLY_S = 0.02
+_PROBE_TOLERANCE_S = 0.02
 
 
 @dataclass(slots=True)
@@ -78,13 +78,13 @@
     data_centre: DataCentre
     seen_at_s: float
     member: Member | None = None
-    leaving: bool = False
+    is_stopping: bool = False
     interval_s: float = 0.0
     probed_at_s: float | None = None
 
 
 #: Probes without an answer after which a peer is suspected, whatever their interval.
-_MISSED_PROBES = 4
+_MAX_MISSED_PROBES = 4
 
 
 class Membership:
@@ -100,84 +100,91 @@
     """
 
     def __init__(self, me: Member, data_centre: DataCentre, suspect_after_s: float) -> None:
-        self.me = me
+        self.local_member = me
         self.data_centre = data_centre
         self.suspect_after_s = suspect_after_s
         self.peers: dict[str, PeerState] = {}
-        self.leaving = False
+        self.is_stopping = False
 
-    def listed(self, listing: Iterable[PeerState], now_s: float) -> None:
+    def apply_listing(self, listing: Iterable[PeerState], now_s: float) -> None:
         """Take the platform's list: it names peers; only their own answers make them alive."""
         names = set()
         for entry in listing:
-            if entry.name == self.me.name:
+            if entry.name == self.local_member.name:
                 continue
             names.add(entry.name)
-            known = self.peers.get(entry.name)
-            if known is None or known.address != entry.address:
+            existing = self.peers.get(entry.name)
+            if existing is None or existing.address != entry.address:
                 entry.seen_at_s = now_s - self.suspect_after_s
                 self.peers[entry.name] = entry
             else:
-                known.leaving = known.leaving or entry.leaving
+                existing.is_stopping = existing.is_stopping or entry.is_stopping
         # A lagging list may drop a peer that still answers; it is forgotten once it is silent too.
         for name in set(self.peers) - names:
-            if not self._is_fresh(self.peers[name], now_s):
+            if not self._has_responded_recently(self.peers[name], now_s):
                 del self.peers[name]
 
-    def introduce(self, member: Member, data_centre: DataCentre, now_s: float) -> None:
+    def add_seed_peer(self, member: Member, data_centre: DataCentre, now_s: float) -> None:
         """Take a peer that answered at an address from the settings, while there is no list."""
-        if member.name != self.me.name and member.name not in self.peers:
+        if member.name != self.local_member.name and member.name not in self.peers:
             self.peers[member.name] = PeerState(
                 name=member.name, address=member.address, data_centre=data_centre, seen_at_s=now_s
             )
 
-    def answered(self, member: Member, *, leaving: bool, now_s: float) -> bool:
+    def note_response(self, member: Member, *, leaving: bool, now_s: float) -> bool:
         """Take a heartbeat answer; return whether the peer was not alive before."""
         peer = self.peers.get(member.name)
         if peer is None:
             return False
-        fresh = self._is_fresh(peer, now_s) and peer.member == member
+        was_alive = self._has_responded_recently(peer, now_s) and peer.member == member
         peer.member = member
         peer.seen_at_s = now_s
-        peer.leaving = leaving
-        return not fresh
+        peer.is_stopping = leaving
+        return not was_alive
 
     def is_alive(self, member: Member, now_s: float) -> bool:
         """Return whether this very incarnation answered within the suspicion time."""
-        if member.name == self.me.name:
-            return member.incarnation == self.me.incarnation
+        if member.name == self.local_member.name:
+            return member.incarnation == self.local_member.incarnation
         peer = self.peers.get(member.name)
-        return peer is not None and peer.member == member and self._is_fresh(peer, now_s)
+        return (
+            peer is not None and peer.member == member and self._has_responded_recently(peer, now_s)
+        )
 
-    def is_staying(self, member: Member, now_s: float) -> bool:
+    def is_alive_and_not_stopping(self, member: Member, now_s: float) -> bool:
         """Return whether this very incarnation is alive and not leaving."""
-        if member.name == self.me.name:
-            return member.incarnation == self.me.incarnation and not self.leaving
-        return self.is_alive(member, now_s) and not self.peers[member.name].leaving
+        if member.name == self.local_member.name:
+            return member.incarnation == self.local_member.incarnation and not self.is_stopping
+        return self.is_alive(member, now_s) and not self.peers[member.name].is_stopping
 
     def find(self, incarnation: str, now_s: float) -> Member | None:
         """Return the live member with this incarnation, or None."""
-        if incarnation == self.me.incarnation:
-            return self.me
+        if incarnation == self.local_member.incarnation:
+            return self.local_member
         for peer in self.peers.values():
             if peer.member and peer.member.incarnation == incarnation:
-                return peer.member if self._is_fresh(peer, now_s) else None
+                return peer.member if self._has_responded_recently(peer, now_s) else None
         return None
 
-    def alive_here(self, now_s: float) -> dict[str, Member]:
+    def local_alive(self, now_s: float) -> dict[str, Member]:
         """Return the data centre's live members, this one too, without those that leave."""
-        alive = {} if self.leaving else {self.me.name: self.me}
+        alive = {} if self.is_stopping else {self.local_member.name: self.local_member}
         for peer in self.peers.values():
-            here = peer.data_centre == self.data_centre
-            if here and peer.member and not peer.leaving and self._is_fresh(peer, now_s):
+            is_local = peer.data_centre == self.data_centre
+            if (
+                is_local
+                and peer.member
+                and not peer.is_stopping
+                and self._has_responded_recently(peer, now_s)
+            ):
                 alive[peer.name] = peer.member
         return alive
 
-    def _is_fresh(self, peer: PeerState, now_s: float) -> bool:
-        patience_s = max(self.suspect_after_s, _MISSED_PROBES * peer.interval_s)
-        return peer.member is not None and now_s - peer.seen_at_s < patience_s
+    def _has_responded_recently(self, peer: PeerState, now_s: float) -> bool:
+        timeout_s = max(self.suspect_after_s, _MAX_MISSED_PROBES * peer.interval_s)
+        return peer.member is not None and now_s - peer.seen_at_s < timeout_s
 
-    def due(self, partners: set[str], pace: ProbePace, now_s: float) -> list[PeerState]:
+    def due_probes(self, partners: set[str], rates: ProbeRates, now_s: float) -> list[PeerState]:
         """Return the peers to probe now, and note that they are.
 
         Parameters
@@ -190,12 +197,17 @@
         Only a partner's death asks this instance for a takeover, so partners are probed often and
         the rest share a fixed rate: what probing costs does not grow with the fleet.
         """
-        others = len(self.peers) - len(partners & self.peers.keys())
-        rest_s = max(pace.partner_s, others / pace.others_per_s)
-        found = []
+        other_count = len(self.peers) - len(partners & self.peers.keys())
+        other_interval_s = max(rates.partner_interval_s, other_count / rates.other_probes_per_s)
+        due_peers = []
         for peer in self.peers.values():
-            peer.interval_s = pace.partner_s if peer.name in partners else rest_s
-            if peer.probed_at_s is None or now_s - peer.probed_at_s >= peer.interval_s - _EARLY_S:
+            peer.interval_s = (
+                rates.partner_interval_s if peer.name in partners else other_interval_s
+            )
+            if (
+                peer.probed_at_s is None
+                or now_s - peer.probed_at_s >= peer.interval_s - _PROBE_TOLERANCE_S
+            ):
                 peer.probed_at_s = now_s
-                found.append(peer)
-        return found
+                due_peers.append(peer)
+        return due_peers
--- a/mothstand/core/orders.py
+++ b/mothstand/core/orders.py
@@ -50,7 +50,7 @@
 
     setup: EngineSetup
     fencing: int
-    loading: bool
+    is_loading: bool
 
 
 @dataclass(frozen=True, slots=True)
@@ -69,22 +69,22 @@
     decided_at_s: float
 
 
-def wanted_setup(config: FleetConfig, engine: Upstream) -> EngineSetup:
+def desired_setup(config: FleetConfig, engine: Upstream) -> EngineSetup:
     """Return what an engine should have loaded."""
     models = tuple(config.models[name] for name in sorted(engine.serves))
     return EngineSetup(models, engine.role)
 
 
-def issuers(alive: Collection[str], data_centre: DataCentre, loads: int) -> list[str]:
+def order_issuers(alive: Collection[str], data_centre: DataCentre, max_loading: int) -> list[str]:
     """Return the instances of a data centre that order: no more than may load at once.
 
     Each of them lets at least one engine load, so more of them would be too many at the store.
     """
-    return rank(alive, f"orders/{data_centre}")[: max(1, loads)]
+    return rank(alive, f"orders/{data_centre}")[: max(1, max_loading)]
 
 
 @dataclass(slots=True)
-class _Duty:
+class _EngineAssignment:
     """A duty to order one engine.
 
     Parameters
@@ -97,13 +97,13 @@
         What the engine had when it was last looked at, if that was what it should have.
     """
 
-    since_s: float
+    assigned_at_s: float
     backoff: Backoff
-    looked_at_s: float = -math.inf
-    settled: EngineSetup | None = None
-    loading: bool = False
+    polled_s: float = -math.inf
+    confirmed_setup: EngineSetup | None = None
+    is_loading: bool = False
     fencing: int = 0
-    again_at_s: float = -math.inf
+    retry_at_s: float = -math.inf
 
 
 @dataclass(frozen=True, slots=True)
@@ -121,10 +121,10 @@
         Before the same order is sent again; doubles.
     """
 
-    held_up_s: float = 1.0
-    wait_s: float = 5.0
+    max_order_age_s: float = 1.0
+    takeover_wait_s: float = 5.0
     retry_first_s: float = 5.0
-    retry_most_s: float = 320.0
+    retry_max_s: float = 320.0
 
 
 @dataclass(slots=True)
@@ -140,11 +140,11 @@
     name: str
     data_centre: DataCentre
     timing: OrderTiming = field(default_factory=OrderTiming)
-    _duties: dict[str, _Duty] = field(default_factory=dict)
-    _loads: int = 1
+    _assignments: dict[str, _EngineAssignment] = field(default_factory=dict)
+    _max_loading: int = 1
 
-    def engines(
-        self, config: FleetConfig, alive: Collection[str], loads: int, now_s: float
+    def engines_to_poll(
+        self, config: FleetConfig, alive: Collection[str], max_loading: int, now_s: float
     ) -> list[Upstream]:
         """Return the engines that this instance looks at now: not all, lest looking costs too much.
 
@@ -158,45 +158,49 @@
         loads
             How many engines of the data centre may load at once: they share the weight store.
         """
-        chosen = issuers(alive, self.data_centre, loads)
-        self._loads = max(1, loads // max(1, len(chosen)))
-        mine = [
+        issuers = order_issuers(alive, self.data_centre, max_loading)
+        self._max_loading = max(1, max_loading // max(1, len(issuers)))
+        assigned = [
             engine
             for engine in config.upstreams.values()
             if engine.orders is not OrderCheck.NONE
             and engine.data_centre == self.data_centre
-            and rank(chosen, engine.name)[:1] == [self.name]
+            and rank(issuers, engine.name)[:1] == [self.name]
+        ]
+        names = {engine.name for engine in assigned}
+        self._assignments = {
+            name: duty for name, duty in self._assignments.items() if name in names
+        }
+        for name in names - self._assignments.keys():
+            backoff = Backoff(self.timing.retry_first_s, self.timing.retry_max_s)
+            self._assignments[name] = _EngineAssignment(now_s, backoff)
+        return sorted(assigned, key=lambda engine: self._poll_order(config, engine))[
+            :POLLS_PER_ROUND
         ]
-        names = {engine.name for engine in mine}
-        self._duties = {name: duty for name, duty in self._duties.items() if name in names}
-        for name in names - self._duties.keys():
-            backoff = Backoff(self.timing.retry_first_s, self.timing.retry_most_s)
-            self._duties[name] = _Duty(now_s, backoff)
-        return sorted(mine, key=lambda engine: self._urgency(config, engine))[:LOOKS_AT_ONCE]
 
     def decide(
         self, engine: Upstream, report: EngineReport, state: ConfigState, now_s: float
     ) -> Order | None:
         """Return the order that an engine needs now, or None."""
-        duty = self._duties.get(engine.name)
-        if duty is None:
+        assignment = self._assignments.get(engine.name)
+        if assignment is None:
             return None
-        duty.looked_at_s = now_s
-        duty.loading = report.loading
-        duty.settled = None
-        if report.loading:
+        assignment.polled_s = now_s
+        assignment.is_loading = report.is_loading
+        assignment.confirmed_setup = None
+        if report.is_loading:
             return None
-        wanted = wanted_setup(state.config, engine)
-        if report.setup == wanted:
-            duty.settled = wanted
+        desired = desired_setup(state.config, engine)
+        if report.setup == desired:
+            assignment.confirmed_setup = desired
             return None
         if report.fencing > state.offset:
             # A newer configuration than this instance's is in force.
             return None
-        if self._must_wait(engine, duty, state.offset, now_s):
+        if self._must_wait(engine, assignment, state.offset, now_s):
             return None
-        self._note_try(duty, state.offset, now_s)
-        return Order(engine, wanted, state.offset, now_s)
+        self._note_attempt(assignment, state.offset, now_s)
+        return Order(engine, desired, state.offset, now_s)
 
     def may_send(self, order: Order, now_s: float) -> bool:
         """Return whether an order still counts: asked right before it is sent.
@@ -204,36 +208,38 @@
         A process can be stopped between its decision and the send. When it wakes, others may have
         ordered something newer, which an engine that does not check would undo.
         """
-        has_duty = order.engine.name in self._duties
-        return has_duty and now_s - order.decided_at_s <= self.timing.held_up_s
+        is_assigned = order.engine.name in self._assignments
+        return is_assigned and now_s - order.decided_at_s <= self.timing.max_order_age_s
 
     def is_contested(self, engine: str) -> bool:
         """Return whether an engine keeps losing what it was ordered."""
-        duty = self._duties.get(engine)
-        return duty is not None and duty.backoff.tries > _CONTESTED_TRIES
-
-    def _urgency(self, config: FleetConfig, engine: Upstream) -> tuple[bool, float]:
-        duty = self._duties[engine.name]
-        return duty.settled == wanted_setup(config, engine), duty.looked_at_s
-
-    def _must_wait(self, engine: Upstream, duty: _Duty, offset: int, now_s: float) -> bool:
-        unchecked = engine.orders is OrderCheck.UNFENCED
-        if unchecked and now_s - duty.since_s < self.timing.wait_s:
+        assignment = self._assignments.get(engine)
+        return assignment is not None and assignment.backoff.attempts > _CONTESTED_ATTEMPTS
+
+    def _poll_order(self, config: FleetConfig, engine: Upstream) -> tuple[bool, float]:
+        assignment = self._assignments[engine.name]
+        return assignment.confirmed_setup == desired_setup(config, engine), assignment.polled_s
+
+    def _must_wait(
+        self, engine: Upstream, assignment: _EngineAssignment, offset: int, now_s: float
+    ) -> bool:
+        is_unfenced = engine.orders is OrderCheck.UNFENCED
+        if is_unfenced and now_s - assignment.assigned_at_s < self.timing.takeover_wait_s:
             return True
-        if duty.fencing == offset and now_s < duty.again_at_s:
+        if assignment.fencing == offset and now_s < assignment.retry_at_s:
             return True
-        return sum(other.loading for other in self._duties.values()) >= self._loads
+        return sum(other.is_loading for other in self._assignments.values()) >= self._max_loading
 
-    def _note_try(self, duty: _Duty, offset: int, now_s: float) -> None:
-        if duty.fencing != offset:
-            duty.backoff.reset()
-        duty.fencing = offset
-        duty.again_at_s = now_s + duty.backoff.next_s()
+    def _note_attempt(self, assignment: _EngineAssignment, offset: int, now_s: float) -> None:
+        if assignment.fencing != offset:
+            assignment.backoff.reset()
+        assignment.fencing = offset
+        assignment.retry_at_s = now_s + assignment.backoff.next_s()
         # Until the engine is looked at again, it counts as loading.
-        duty.loading = True
+        assignment.is_loading = True
 
 
 #: Engines that are looked at in one round.
-LOOKS_AT_ONCE = 8
+POLLS_PER_ROUND = 8
 
-_CONTESTED_TRIES = 3
+_CONTESTED_ATTEMPTS = 3
--- a/mothstand/core/placement.py
+++ b/mothstand/core/placement.py
@@ -42,16 +42,16 @@
         An upstream that failed is left alone for this long, doubled with each failure in a row.
     """
 
-    cached_s: float = 8.0
-    running_tokens: float = 300.0
-    far_tokens: float = 1000.0
-    full_s: float = 0.1
+    cache_lifetime_s: float = 8.0
+    running_request_tokens: float = 300.0
+    remote_tokens: float = 1000.0
+    full_pause_s: float = 0.1
     suspend_first_s: float = 0.5
-    suspend_most_s: float = 4.0
+    suspend_max_s: float = 4.0
 
 
 @dataclass(slots=True)
-class _Known:
+class _UpstreamState:
     """Own observations of one upstream."""
 
     running: int = 0
@@ -62,16 +62,16 @@
 
 
 @dataclass(slots=True)
-class Placed:
+class PlacedRequest:
     """A request at an upstream, as the placement counts it."""
 
     upstream: RegisteredUpstream
     unread_tokens: float
-    reading: bool = True
+    is_reading_prompt: bool = True
 
 
 #: Parts remembered for each upstream; the oldest are dropped above this.
-_MOST_PARTS = 2000
+_MAX_PARTS = 2000
 
 
 @dataclass(slots=True)
@@ -80,7 +80,7 @@
 
     data_centre: DataCentre
     policy: PlacementPolicy = field(default_factory=PlacementPolicy)
-    _known: dict[UpstreamKey, _Known] = field(default_factory=dict)
+    _states: dict[UpstreamKey, _UpstreamState] = field(default_factory=dict)
 
     def choose(
         self,
@@ -102,7 +102,7 @@
             Upstreams that this request has failed at.
         """
         candidates = [u for u in upstreams if u.upstream_id not in tried]
-        healthy = [u for u in candidates if self._of(u).suspended_until_s <= now_s]
+        healthy = [u for u in candidates if self._state(u).suspended_until_s <= now_s]
         # Where all are suspended a wrong suspicion costs more than another failure.
         candidates = healthy or candidates
         if not candidates:
@@ -110,61 +110,63 @@
         home = max(candidates, key=lambda u: _weight(u, subject)) if prompt.parts else None
         return min(candidates, key=lambda u: self._cost(u, prompt, u is home, subject, now_s))
 
-    def started(self, upstream: RegisteredUpstream, prompt: Prompt, now_s: float) -> Placed:
+    def note_started(
+        self, upstream: RegisteredUpstream, prompt: Prompt, now_s: float
+    ) -> PlacedRequest:
         """Count a request that is being sent."""
-        known = self._of(upstream)
-        unread = self._unread_tokens(known, prompt, now_s)
-        known.running += 1
-        known.unread_tokens += unread
+        state = self._state(upstream)
+        unread = self._unread_tokens(state, prompt, now_s)
+        state.running += 1
+        state.unread_tokens += unread
         for part in prompt.parts:
-            known.parts.pop(part.part_id, None)
-            known.parts[part.part_id] = now_s
-        while len(known.parts) > _MOST_PARTS:
-            del known.parts[next(iter(known.parts))]
-        return Placed(upstream, unread)
+            state.parts.pop(part.part_id, None)
+            state.parts[part.part_id] = now_s
+        while len(state.parts) > _MAX_PARTS:
+            del state.parts[next(iter(state.parts))]
+        return PlacedRequest(upstream, unread)
 
-    def read(self, placed: Placed) -> None:
+    def note_prompt_read(self, placed: PlacedRequest) -> None:
         """Note that an upstream has read a request's prompt: its first token came."""
-        if placed.reading:
-            placed.reading = False
-            self._of(placed.upstream).unread_tokens -= placed.unread_tokens
+        if placed.is_reading_prompt:
+            placed.is_reading_prompt = False
+            self._state(placed.upstream).unread_tokens -= placed.unread_tokens
 
-    def ended(self, placed: Placed) -> None:
+    def note_ended(self, placed: PlacedRequest) -> None:
         """Count a request's end, whatever it was."""
-        self.read(placed)
-        self._of(placed.upstream).running -= 1
+        self.note_prompt_read(placed)
+        self._state(placed.upstream).running -= 1
 
-    def succeeded(self, upstream: RegisteredUpstream) -> None:
+    def note_success(self, upstream: RegisteredUpstream) -> None:
         """Note that an upstream answered."""
-        known = self._of(upstream)
-        known.failures = 0
-        known.suspended_until_s = 0.0
+        state = self._state(upstream)
+        state.failures = 0
+        state.suspended_until_s = 0.0
 
-    def failed(self, upstream: RegisteredUpstream, now_s: float) -> float:
+    def note_failure(self, upstream: RegisteredUpstream, now_s: float) -> float:
         """Note that an upstream failed; return for how long it is left alone."""
-        known = self._of(upstream)
-        pause_s = min(self.policy.suspend_most_s, self.policy.suspend_first_s * 2**known.failures)
-        known.failures += 1
-        known.suspended_until_s = now_s + pause_s
+        state = self._state(upstream)
+        pause_s = min(self.policy.suspend_max_s, self.policy.suspend_first_s * 2**state.failures)
+        state.failures += 1
+        state.suspended_until_s = now_s + pause_s
         return pause_s
 
-    def full(self, upstream: RegisteredUpstream, now_s: float) -> None:
+    def note_full(self, upstream: RegisteredUpstream, now_s: float) -> None:
         """Note that an upstream had no room just now."""
-        known = self._of(upstream)
-        known.suspended_until_s = max(known.suspended_until_s, now_s + self.policy.full_s)
+        state = self._state(upstream)
+        state.suspended_until_s = max(state.suspended_until_s, now_s + self.policy.full_pause_s)
 
     def forget(self, upstream: RegisteredUpstream) -> None:
         """Drop what is known of an upstream that has gone."""
-        self._known.pop(upstream.key, None)
+        self._states.pop(upstream.key, None)
 
-    def _of(self, upstream: RegisteredUpstream) -> _Known:
-        return self._known.setdefault(upstream.key, _Known())
+    def _state(self, upstream: RegisteredUpstream) -> _UpstreamState:
+        return self._states.setdefault(upstream.key, _UpstreamState())
 
-    def _unread_tokens(self, known: _Known, prompt: Prompt, now_s: float) -> float:
+    def _unread_tokens(self, state: _UpstreamState, prompt: Prompt, now_s: float) -> float:
         """Return the prompt's tokens behind its leading parts that were sent there lately."""
         unread = prompt.input_tokens
         for part in prompt.parts:
-            if now_s - known.parts.get(part.part_id, float("-inf")) > self.policy.cached_s:
+            if now_s - state.parts.get(part.part_id, float("-inf")) > self.policy.cache_lifetime_s:
                 break
             unread -= part.tokens
         return max(0, unread)
@@ -173,18 +175,18 @@
         self,
         upstream: RegisteredUpstream,
         prompt: Prompt,
-        home: bool,
+        is_home: bool,
         subject: str,
         now_s: float,
     ) -> tuple[float, int]:
-        known = self._of(upstream)
-        unread = self._unread_tokens(known, prompt, now_s)
-        if home and len(prompt.parts) > 1:
+        state = self._state(upstream)
+        unread = self._unread_tokens(state, prompt, now_s)
+        if is_home and len(prompt.parts) > 1:
             # Other instances send the same session here, too.
             unread = min(unread, prompt.parts[-1].tokens)
-        cost = unread + known.unread_tokens + known.running * self.policy.running_tokens
+        cost = unread + state.unread_tokens + state.running * self.policy.running_request_tokens
         if upstream.data_centre != self.data_centre:
-            cost += self.policy.far_tokens
+            cost += self.policy.remote_tokens
         return cost, -_weight(upstream, subject)
 
 
@@ -193,7 +195,7 @@
     return rendezvous_weight(subject, upstream.upstream_id)
 
 
-def session_of(prompt: Prompt, request_id: str) -> str:
+def session_key(prompt: Prompt, request_id: str) -> str:
     """Return what the request shares with others: its last shared part, else its own id."""
     if len(prompt.parts) > 1:
         return prompt.parts[-2].part_id
--- a/mothstand/core/urgency.py
+++ b/mothstand/core/priority_reserve.py
@@ -14,10 +14,10 @@
 from .demand import Demand
 
 #: The longest usual outage of the store; what urgent requests need is kept back until its end.
-OUTAGE_S = 9.0
+MAX_USUAL_OUTAGE_S = 9.0
 
 #: Least time that is kept for: the outage's end is noticed late.
-_LEAST_S = 2.0
+_MIN_SHORTAGE_S = 2.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,25 +39,29 @@
     13 % instead of 4 % on a day on which one workspace uses all that it paid for.
     """
 
-    silent_s: float
+    store_silent_s: float
     locked_tokens: int = 0
     unlocks_in_s: float = 0.0
 
     @property
-    def short_for_s(self) -> float:
+    def shortage_s(self) -> float:
         """How long tokens are to be kept for urgent requests; 0 for no shortage."""
-        return max(_LEAST_S, OUTAGE_S - self.silent_s) if self.silent_s > 0 else 0.0
+        return (
+            max(_MIN_SHORTAGE_S, MAX_USUAL_OUTAGE_S - self.store_silent_s)
+            if self.store_silent_s > 0
+            else 0.0
+        )
 
-    def kept_tokens(self, urgent_tokens_per_s: float) -> int:
+    def withheld_tokens(self, higher_priority_tokens_per_s: float) -> int:
         """Return what must be left of the tokens that may be spent now.
 
         Two things must hold: these last until the locked ones may be spent, too, and both together
         until the shortage's end. With the second alone, requests are refused in the first seconds
         of an outage for the sake of others whose tokens lie there, locked for a moment longer.
         """
-        for_s = self.short_for_s
-        until_unlocked = urgent_tokens_per_s * min(for_s, self.unlocks_in_s)
-        until_end = urgent_tokens_per_s * for_s - self.locked_tokens
+        shortage_s = self.shortage_s
+        until_unlocked = higher_priority_tokens_per_s * min(shortage_s, self.unlocks_in_s)
+        until_end = higher_priority_tokens_per_s * shortage_s - self.locked_tokens
         return max(0, int(max(until_unlocked, until_end)))
 
 
@@ -68,12 +72,12 @@
     total: Demand = field(default_factory=Demand)
     by_priority: dict[int, Demand] = field(default_factory=dict)
 
-    def ask(self, tokens: int, priority: int, now_s: float) -> None:
+    def add_request(self, tokens: int, priority: int, now_s: float) -> None:
         """Count a request."""
-        self.total.ask(tokens, now_s)
-        self.by_priority.setdefault(priority, Demand()).ask(tokens, now_s)
+        self.total.add_request(tokens, now_s)
+        self.by_priority.setdefault(priority, Demand()).add_request(tokens, now_s)
 
-    def kept_tokens(self, priority: int, supply: Supply, now_s: float) -> int:
+    def withheld_tokens(self, priority: int, supply: Supply, now_s: float) -> int:
         """Return what requests of a priority must leave for more urgent ones.
 
         Notes
@@ -82,15 +86,20 @@
         does not take the place of a document of 13,000. With all of it kept, labels were refused
         for documents that the rest would not have served either, and in the end nobody used it.
         """
-        if supply.short_for_s <= 0:
+        if supply.shortage_s <= 0:
             return 0
-        mine = self.by_priority.get(priority)
-        urgent = [d for p, d in self.by_priority.items() if p < priority]
-        return supply.kept_tokens(sum(d.rate(now_s) * _weight(mine, d) for d in urgent))
+        own_demand = self.by_priority.get(priority)
+        higher_priority_demands = [d for p, d in self.by_priority.items() if p < priority]
+        return supply.withheld_tokens(
+            sum(
+                d.rate_tokens_per_s(now_s) * _withheld_share(own_demand, d)
+                for d in higher_priority_demands
+            )
+        )
 
 
-def _weight(mine: Demand | None, urgent: Demand) -> float:
+def _withheld_share(own_demand: Demand | None, higher_priority_demand: Demand) -> float:
     """Return the part of an urgent demand to keep for: one's own size against its, at most 1."""
-    if mine is None or not mine.mean_tokens or not urgent.mean_tokens:
+    if own_demand is None or not own_demand.mean_tokens or not higher_priority_demand.mean_tokens:
         return 1.0
-    return min(1.0, mine.mean_tokens / urgent.mean_tokens)
+    return min(1.0, own_demand.mean_tokens / higher_priority_demand.mean_tokens)
--- a/mothstand/core/renewals.py
+++ b/mothstand/core/renewals.py
@@ -29,17 +29,17 @@
 
 #: Seconds out of touch from which on windows open. Renewals come three times in a second, and a
 #: slow store answers within half of one; a silence that is longer is an outage.
-OPENS_S = 1.0
+OPENING_STARTS_S = 1.0
 
 #: Kept between a measured time and `UNLOCK_S`, for clocks that run apart.
-_MARGIN_S = 0.2
+_CLOCK_MARGIN_S = 0.2
 
 #: Other machines whose clocks must agree. With one's own that makes three; the time of day jumps
 #: on fewer at once than half of six.
-_LEAST_WITNESSES = 2
+_MIN_WITNESSES = 2
 
 #: Renewals kept of each instance: half a minute of them.
-_MOST_KEPT = 100
+_MAX_RENEWALS = 100
 
 
 @dataclass(frozen=True, slots=True)
@@ -55,11 +55,11 @@
     """
 
     window_share: float
-    all_claimed: bool
+    is_full: bool
 
     def limit_tokens(self, *, claimed: int, window: int, base: int) -> int:
         """Return what may be spent of a claim."""
-        if self.all_claimed:
+        if self.is_full:
             return claimed
         # The window stays as it was written when the claim is lowered below it: cut to the claim,
         # it would open less at each look of a successor, until nothing past the base was left.
@@ -67,13 +67,13 @@
 
 
 #: In touch with the store.
-CLOSED = Opening(0.0, all_claimed=False)
+CLOSED = Opening(0.0, is_full=False)
 
 
-def opening_after(silent_s: float) -> Opening:
+def opening_after(out_of_touch_s: float) -> Opening:
     """Return what may be spent after a time out of touch with the store."""
-    share = (silent_s - OPENS_S) / (UNLOCK_S - OPENS_S)
-    return Opening(min(1.0, max(0.0, share)), all_claimed=silent_s >= UNLOCK_S)
+    share = (out_of_touch_s - OPENING_STARTS_S) / (UNLOCK_S - OPENING_STARTS_S)
+    return Opening(min(1.0, max(0.0, share)), is_full=out_of_touch_s >= UNLOCK_S)
 
 
 @dataclass(frozen=True, slots=True)
@@ -99,24 +99,24 @@
 
     _by_instance: dict[str, list[Renewal]] = field(default_factory=lambda: defaultdict(list))
 
-    def note(self, renewal: Renewal) -> None:
+    def add(self, renewal: Renewal) -> None:
         """Take a renewal; one that is known already changes nothing."""
-        kept = self._by_instance[renewal.peer.instance]
-        if kept and kept[-1].offset < renewal.offset:
-            kept.append(renewal)
-        elif all(other.offset != renewal.offset for other in kept):
-            kept.append(renewal)
-            kept.sort(key=lambda r: r.offset)
-        del kept[:-_MOST_KEPT]
+        renewals = self._by_instance[renewal.peer.instance]
+        if renewals and renewals[-1].offset < renewal.offset:
+            renewals.append(renewal)
+        elif all(other.offset != renewal.offset for other in renewals):
+            renewals.append(renewal)
+            renewals.sort(key=lambda r: r.offset)
+        del renewals[:-_MAX_RENEWALS]
 
     def enclosing_s(self, instance: str, from_offset: int, to_offset: int) -> float | None:
         """Return the time between renewals of an instance just before and after two offsets."""
-        kept = self._by_instance.get(instance, [])
-        before = [r for r in kept if r.offset < from_offset]
-        after = [r for r in kept if r.offset > to_offset]
+        renewals = self._by_instance.get(instance, [])
+        before = [r for r in renewals if r.offset < from_offset]
+        after = [r for r in renewals if r.offset > to_offset]
         return after[0].wall_s - before[-1].wall_s if before and after else None
 
-    def longest_gap_s(
+    def max_gap_s(
         self, last: Renewal, start: Renewal, started_wall_s: float, start_took_s: float
     ) -> float | None:
         """Return the time that a process was out of touch at its death at most, if that is known.
@@ -139,13 +139,13 @@
         """
         if last.peer.address != start.peer.address:
             return None
-        own_s = started_wall_s - last.wall_s
-        others_s = []
+        own_gap_s = started_wall_s - last.wall_s
+        other_gaps_s = []
         for instance in self._by_instance:
             enclosing_s = self.enclosing_s(instance, last.offset, start.offset)
             if instance != last.peer.instance and enclosing_s is not None:
-                others_s.append(enclosing_s - start_took_s)
-        witnesses_s = sorted(t for t in others_s if t + _MARGIN_S >= 0.0)
-        if own_s + _MARGIN_S < 0.0 or len(witnesses_s) < _LEAST_WITNESSES:
+                other_gaps_s.append(enclosing_s - start_took_s)
+        valid_gaps_s = sorted(t for t in other_gaps_s if t + _CLOCK_MARGIN_S >= 0.0)
+        if own_gap_s + _CLOCK_MARGIN_S < 0.0 or len(valid_gaps_s) < _MIN_WITNESSES:
             return None
-        return max(0.0, own_s, witnesses_s[_LEAST_WITNESSES - 1]) + _MARGIN_S
+        return max(0.0, own_gap_s, valid_gaps_s[_MIN_WITNESSES - 1]) + _CLOCK_MARGIN_S
--- a/mothstand/core/requests.py
+++ b/mothstand/core/requests.py
@@ -30,8 +30,8 @@
         How long a finished request is remembered. A retry after that is a new request.
     """
 
-    def __init__(self, kept_s: float) -> None:
-        self.kept_s = kept_s
+    def __init__(self, retention_s: float) -> None:
+        self.retention_s = retention_s
         self._requests: dict[str, KnownRequest] = {}
 
     def __len__(self) -> int:
@@ -40,7 +40,7 @@
     def find(self, request_id: str, now_s: float) -> KnownRequest | None:
         """Return what is known of a request, or None."""
         known = self._requests.get(request_id)
-        if known is None or self._is_old(known, now_s):
+        if known is None or self._is_expired(known, now_s):
             return None
         return known
 
@@ -60,9 +60,9 @@
 
     def expire(self, now_s: float) -> None:
         """Drop what is past its time."""
-        old = [key for key, known in self._requests.items() if self._is_old(known, now_s)]
-        for key in old:
+        expired = [key for key, known in self._requests.items() if self._is_expired(known, now_s)]
+        for key in expired:
             del self._requests[key]
 
-    def _is_old(self, known: KnownRequest, now_s: float) -> bool:
-        return known.finished_at_s is not None and now_s - known.finished_at_s > self.kept_s
+    def _is_expired(self, known: KnownRequest, now_s: float) -> bool:
+        return known.finished_at_s is not None and now_s - known.finished_at_s > self.retention_s
--- a/mothstand/core/retry_budget.py
+++ b/mothstand/core/retry_budget.py
@@ -54,7 +54,7 @@
     """
 
     is_granted: bool
-    taken: int
+    used: int
     allowed: float
     requests: int
     sharers: int
@@ -77,7 +77,7 @@
     _requests_s: list[float] = field(default_factory=list)
     _granted_s: list[float] = field(default_factory=list)
 
-    def request(self, sent_s: float) -> None:
+    def add_request(self, sent_s: float) -> None:
         """Count a caller's request.
 
         Parameters
@@ -85,10 +85,10 @@
         sent_s
             The earliest time at which it may have been sent.
         """
-        self._forget(sent_s)
+        self._drop_old(sent_s)
         insort(self._requests_s, sent_s)
 
-    def take(self, now_s: float, *, sharers: int) -> RetryDecision:
+    def try_acquire(self, now_s: float, *, sharers: int) -> RetryDecision:
         """Decide whether one more retry fits into each window, and count it if so.
 
         Parameters
@@ -96,18 +96,18 @@
         sharers
             In how many parts the burst is divided, 0 if no part of it may be used here.
         """
-        self._forget(now_s)
+        self._drop_old(now_s)
         decision = self._decide(now_s, sharers)
         if decision.is_granted:
             self._granted_s.append(now_s)
         return decision
 
-    def _forget(self, now_s: float) -> None:
+    def _drop_old(self, now_s: float) -> None:
         del self._granted_s[: bisect_left(self._granted_s, now_s - self.settings.span_s)]
-        oldest_s = self._pays_from_s(self._granted_s[0] if self._granted_s else now_s)
+        oldest_s = self._requests_count_from_s(self._granted_s[0] if self._granted_s else now_s)
         del self._requests_s[: bisect_left(self._requests_s, oldest_s)]
 
-    def _pays_from_s(self, granted_s: float) -> float:
+    def _requests_count_from_s(self, granted_s: float) -> float:
         """Return since when requests pay, in a window whose first retry was granted then.
 
         It arrives within `delivery_s`, so the window begins by then, and the one before a window's
@@ -118,10 +118,10 @@
     def _decide(self, now_s: float, sharers: int) -> RetryDecision:
         """Look at the windows that begin with each retry, the one asked for first."""
         share = self.settings.burst / sharers if sharers else 0.0
-        for taken, began_s in enumerate([now_s, *reversed(self._granted_s)], start=1):
-            first = bisect_left(self._requests_s, self._pays_from_s(began_s))
+        for used, began_s in enumerate([now_s, *reversed(self._granted_s)], start=1):
+            first = bisect_left(self._requests_s, self._requests_count_from_s(began_s))
             requests = len(self._requests_s) - first
             allowed = self.settings.ratio * requests / 2 + share
-            if taken > allowed:
+            if used > allowed:
                 break
-        return RetryDecision(taken <= allowed, taken, allowed, requests, sharers)
+        return RetryDecision(used <= allowed, used, allowed, requests, sharers)
--- a/mothstand/core/routes.py
+++ b/mothstand/core/routes.py
@@ -51,13 +51,13 @@
     priority: int
     destinations: tuple[Destination, ...]
     attempts: int
-    public: bool
-    resumable: bool
+    is_public: bool
+    is_resumable: bool
 
     @property
     def may_run_twice(self) -> bool:
         """Whether a request that may have run may be sent again."""
-        return self.kind is RequestKind.IDEMPOTENT or self.resumable
+        return self.kind is RequestKind.IDEMPOTENT or self.is_resumable
 
     def service_for(self, request_id: str) -> str:
         """Return the service of one request; a request's own retries stay with it."""
@@ -85,7 +85,7 @@
     name: str
     connection_limit: int
     slots: int = 0
-    event_tokens: int = 0
+    tokens_per_event: int = 0
 
 
 @dataclass(frozen=True, slots=True)
--- a/mothstand/core/routing.py
+++ b/mothstand/core/routing.py
@@ -38,10 +38,10 @@
     """
 
     load_factor: float = 1.25
-    queue_s: float = 0.2
-    report_kept_s: float = 3.0
-    open_after_failures: int = 3
-    open_s: float = 2.0
+    max_queue_s: float = 0.2
+    report_lifetime_s: float = 3.0
+    circuit_open_failures: int = 3
+    circuit_open_s: float = 2.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -63,8 +63,8 @@
     serves: str
     prefix: str
     priority: int
-    tried: frozenset[str] = frozenset()
-    resumes: bool = False
+    tried_upstreams: frozenset[str] = frozenset()
+    must_resume: bool = False
 
 
 #: Assumed duration of a request at an upstream that has ended none yet.
@@ -91,9 +91,9 @@
     in_flight: int = 0
     failures: int = 0
     retry_at_s: float = 0.0
-    request_s: float = _FIRST_REQUEST_S
-    reported: int = 0
-    in_flight_then: int = 0
+    mean_request_s: float = _FIRST_REQUEST_S
+    reported_load: int = 0
+    in_flight_at_report: int = 0
     reported_at_s: float = -math.inf
 
 
@@ -111,7 +111,7 @@
 
     upstream: Upstream
     load: int
-    room: int
+    free_capacity: int
 
 
 @dataclass(slots=True)
@@ -126,7 +126,7 @@
 
     data_centre: DataCentre
     policy: RoutingPolicy = field(default_factory=RoutingPolicy)
-    leaving: frozenset[str] = frozenset()
+    draining: frozenset[str] = frozenset()
     health: dict[str, UpstreamHealth] = field(default_factory=dict)
 
     def choose(
@@ -150,42 +150,44 @@
         Result[Upstream, Refusal]
             ``NO_UPSTREAM`` when none can be used, ``OVERLOADED`` when all are full.
         """
-        places = config.serving(call.serves)
-        here = self._usable(call, places.get(self.data_centre, ()), config, now_utc, now_s)
-        chosen = self._best_here(call, here, sharers, now_s)
+        by_data_centre = config.upstreams_serving(call.serves)
+        local = self._usable(call, by_data_centre.get(self.data_centre, ()), config, now_utc, now_s)
+        chosen = self._best_local(call, local, sharers, now_s)
         if chosen is not None:
             return Success(chosen)
-        others = (u for place, found in places.items() if place != self.data_centre for u in found)
-        elsewhere = self._usable(call, others, config, now_utc, now_s)
-        chosen = self._best_elsewhere(call, elsewhere, now_s, alone=not here)
+        remote_upstreams = (
+            u for place, found in by_data_centre.items() if place != self.data_centre for u in found
+        )
+        remote = self._usable(call, remote_upstreams, config, now_utc, now_s)
+        chosen = self._best_remote(call, remote, now_s, no_local=not local)
         if chosen is not None:
             return Success(chosen)
-        if here or elsewhere:
-            full = f"{len(here) + len(elsewhere)} upstreams are full"
+        if local or remote:
+            full = f"{len(local) + len(remote)} upstreams are full"
             return Failure(Refusal(ErrorKind.OVERLOADED, full))
         return Failure(Refusal(ErrorKind.NO_UPSTREAM, f"nothing serves {call.serves!r} now"))
 
-    def started(self, upstream: str) -> None:
+    def note_started(self, upstream: str) -> None:
         """Count a request at an upstream."""
         self._health(upstream).in_flight += 1
 
-    def ended(self, upstream: str, *, failed: bool, took_s: float, now_s: float) -> None:
+    def note_ended(self, upstream: str, *, failed: bool, elapsed_s: float, now_s: float) -> None:
         """Count a request's end; several failures in a row open the circuit for a while."""
         health = self._health(upstream)
         health.in_flight -= 1
         if not failed:
             health.failures = 0
-            health.request_s += _LATEST_WEIGHT * (took_s - health.request_s)
+            health.mean_request_s += _LATEST_WEIGHT * (elapsed_s - health.mean_request_s)
             return
         health.failures += 1
-        if health.failures >= self.policy.open_after_failures:
-            health.retry_at_s = now_s + self.policy.open_s
+        if health.failures >= self.policy.circuit_open_failures:
+            health.retry_at_s = now_s + self.policy.circuit_open_s
 
-    def reported(self, upstream: str, load: int, now_s: float) -> None:
+    def note_load_report(self, upstream: str, load: int, now_s: float) -> None:
         """Take an upstream's word on how many requests run or wait there."""
         health = self._health(upstream)
-        health.reported = load
-        health.in_flight_then = health.in_flight
+        health.reported_load = load
+        health.in_flight_at_report = health.in_flight
         health.reported_at_s = now_s
 
     def _health(self, upstream: str) -> UpstreamHealth:
@@ -205,32 +207,32 @@
         return [
             u
             for u in upstreams
-            if u.name not in call.tried
-            and (u.resumes or not call.resumes)
-            and self._takes_work(u, config, now_utc, now_s)
+            if u.name not in call.tried_upstreams
+            and (u.can_resume or not call.must_resume)
+            and self._accepts_work(u, config, now_utc, now_s)
         ]
 
-    def _takes_work(
+    def _accepts_work(
         self, upstream: Upstream, config: FleetConfig, now_utc: datetime, now_s: float
     ) -> bool:
         stop = config.stops.get(upstream.name)
         if stop is not None and now_utc >= stop.at_utc:
             return False
-        if upstream.name in self.leaving:
+        if upstream.name in self.draining:
             return False
         health = self._health(upstream.name)
-        tripped = health.failures >= self.policy.open_after_failures
-        return not tripped or (now_s >= health.retry_at_s and health.in_flight == 0)
+        is_circuit_open = health.failures >= self.policy.circuit_open_failures
+        return not is_circuit_open or (now_s >= health.retry_at_s and health.in_flight == 0)
 
-    def _best_here(
-        self, call: RouteCall, here: list[Upstream], sharers: int, now_s: float
+    def _best_local(
+        self, call: RouteCall, local: list[Upstream], sharers: int, now_s: float
     ) -> Upstream | None:
-        candidates = [self._candidate(u, call.priority, sharers, now_s) for u in here]
-        free = [candidate for candidate in candidates if candidate.room > 0]
-        return self._by_affinity(call, free) if free else None
+        candidates = [self._candidate(u, call.priority, sharers, now_s) for u in local]
+        free = [candidate for candidate in candidates if candidate.free_capacity > 0]
+        return self._choose_by_affinity(call, free) if free else None
 
-    def _best_elsewhere(
-        self, call: RouteCall, elsewhere: list[Upstream], now_s: float, *, alone: bool
+    def _best_remote(
+        self, call: RouteCall, remote: list[Upstream], now_s: float, *, no_local: bool
     ) -> Upstream | None:
         """Return an upstream of another data centre, for what this one cannot take.
 
@@ -241,38 +243,38 @@
         one request of this instance at a time finds out.
         """
         free = []
-        for upstream in elsewhere:
+        for upstream in remote:
             health = self._health(upstream.name)
-            known = self._load_by_report(health, now_s)
-            load = health.in_flight if known is None else known
-            most = 1 if known is None and not alone else upstream.slots
-            if load < most:
-                free.append(_Candidate(upstream, load, most - load))
-        return self._by_affinity(call, free) if free else None
+            reported = self._estimate_load(health, now_s)
+            load = health.in_flight if reported is None else reported
+            max_load = 1 if reported is None and not no_local else upstream.slots
+            if load < max_load:
+                free.append(_Candidate(upstream, load, max_load - load))
+        return self._choose_by_affinity(call, free) if free else None
 
     def _candidate(
         self, upstream: Upstream, priority: int, sharers: int, now_s: float
     ) -> _Candidate:
         health = self._health(upstream.name)
         # Low priority never goes into an engine's queue, where high priority would wait behind.
-        waiting = 0 if priority <= 0 else self._most_waiting(upstream, health)
-        known = self._load_by_report(health, now_s, sharers)
-        if known is not None:
-            return _Candidate(upstream, known, upstream.slots + waiting - known)
+        max_waiting = 0 if priority <= 0 else self._max_waiting(upstream, health)
+        reported = self._estimate_load(health, now_s, sharers)
+        if reported is not None:
+            return _Candidate(upstream, reported, upstream.slots + max_waiting - reported)
         # Twice the fair share: others do not always use theirs.
         share = max(1, math.ceil(2 * upstream.slots / max(1, sharers)))
-        share = min(share, upstream.slots + waiting)
+        share = min(share, upstream.slots + max_waiting)
         return _Candidate(upstream, health.in_flight * sharers, share - health.in_flight)
 
-    def _most_waiting(self, upstream: Upstream, health: UpstreamHealth) -> int:
+    def _max_waiting(self, upstream: Upstream, health: UpstreamHealth) -> int:
         """Return how many may wait, so that the last gets a slot within `queue_s`.
 
         A slot comes free each `request_s / slots` (Little's law).
         """
-        free_every_s = max(1e-3, health.request_s) / upstream.slots
-        return math.ceil(self.policy.queue_s / free_every_s)
+        free_every_s = max(1e-3, health.mean_request_s) / upstream.slots
+        return math.ceil(self.policy.max_queue_s / free_every_s)
 
-    def _load_by_report(self, health: UpstreamHealth, now_s: float, sharers: int = 1) -> int | None:
+    def _estimate_load(self, health: UpstreamHealth, now_s: float, sharers: int = 1) -> int | None:
         """Return the load by a report that still counts, with what has been sent since.
 
         Notes
@@ -280,14 +282,14 @@
         All sharers see the same room in the same late report. Were each to count only its own
         requests, they would fill it several times over before the next one tells.
         """
-        if now_s - health.reported_at_s > self.policy.report_kept_s:
+        if now_s - health.reported_at_s > self.policy.report_lifetime_s:
             return None
-        since = health.in_flight - health.in_flight_then
-        if since > 0:
-            since *= sharers
-        return max(health.in_flight, health.reported + since)
+        sent_since = health.in_flight - health.in_flight_at_report
+        if sent_since > 0:
+            sent_since *= sharers
+        return max(health.in_flight, health.reported_load + sent_since)
 
-    def _by_affinity(self, call: RouteCall, free: list[_Candidate]) -> Upstream:
+    def _choose_by_affinity(self, call: RouteCall, free: list[_Candidate]) -> Upstream:
         """Return the first in rendezvous order that is not much above the mean, nor full.
 
         Notes
@@ -297,9 +299,9 @@
         """
         by_name = {candidate.upstream.name: candidate for candidate in free}
         mean = sum(candidate.load for candidate in free) / len(free)
-        most = math.ceil(self.policy.load_factor * (mean + 1 / len(free)))
+        max_load = math.ceil(self.policy.load_factor * (mean + 1 / len(free)))
         for name in rank(by_name, call.prefix):
             candidate = by_name[name]
-            if candidate.load < min(most, candidate.upstream.slots):
+            if candidate.load < min(max_load, candidate.upstream.slots):
                 return candidate.upstream
         return min(free, key=lambda candidate: candidate.load / candidate.upstream.slots).upstream
--- a/mothstand/core/shutdown.py
+++ b/mothstand/core/shutdown.py
@@ -16,7 +16,7 @@
 STOP_RESERVE_S = 0.2
 
 #: A caller that comes back from a stopping instance meets another one at once.
-STOPPING_COME_BACK_S = 0.05
+STOPPING_RETRY_AFTER_S = 0.05
 
 
 @dataclass(slots=True)
@@ -39,12 +39,12 @@
         """Whether a stop has begun: not ready, connections are closed after their answer."""
         return self.began_s is not None
 
-    def refuses(self, now_s: float) -> bool:
+    def refuses_requests(self, now_s: float) -> bool:
         """Return whether new requests are refused."""
         return self.began_s is not None and now_s - self.began_s >= LAME_DUCK_S
 
     @property
-    def ends_s(self) -> float:
+    def deadline_s(self) -> float:
         """When the process must have ended by itself, on the clock of `began_s`."""
         return (self.began_s or 0.0) + self.grace_s - STOP_RESERVE_S
 
--- a/mothstand/core/stall_watch.py
+++ b/mothstand/core/stall_detector.py
@@ -18,27 +18,27 @@
 
 
 @dataclass(slots=True)
-class StallWatch:
+class StallDetector:
     """The ticks of a process, and its latest stall."""
 
-    _ticked_s: float = math.inf
-    _stalled_s: float = -math.inf
+    _last_tick_s: float = math.inf
+    _stall_began_s: float = -math.inf
     _reads_backlog_until_s: float = -math.inf
 
     def tick(self, now_s: float) -> None:
         """Note that the process runs."""
-        stall_s = now_s - self._ticked_s
+        stall_s = now_s - self._last_tick_s
         if stall_s > _STALL_S:
-            self._stalled_s = self._ticked_s
+            self._stall_began_s = self._last_tick_s
             # Reading what came in a stall takes no longer than it took to come.
             self._reads_backlog_until_s = now_s + stall_s
-        self._ticked_s = now_s
+        self._last_tick_s = now_s
 
-    def sent_since_s(self, now_s: float) -> float:
+    def earliest_send_s(self, now_s: float) -> float:
         """Return the earliest time at which a request that is read now may have been sent."""
-        if now_s - self._ticked_s > _STALL_S:
+        if now_s - self._last_tick_s > _STALL_S:
             # It has just woken, and reads before it ticks.
-            return self._ticked_s
+            return self._last_tick_s
         if now_s < self._reads_backlog_until_s:
-            return self._stalled_s
+            return self._stall_began_s
         return now_s
--- a/mothstand/core/stream_check.py
+++ b/mothstand/core/stream_check.py
@@ -11,9 +11,9 @@
 
 from pydantic_core import from_json, to_json
 
-_DONE = b"data: [DONE]"
-_DATA = b"data:"
-_END = b"\n\n"
+_END_MARKER = b"data: [DONE]"
+_DATA_FIELD = b"data:"
+_EVENT_END = b"\n\n"
 
 #: Longest event that is buffered; an engine that sends more without an end is broken.
 MAX_EVENT_BYTES = 1_000_000
@@ -28,9 +28,9 @@
         Events before the fault that are still to be sent on.
     """
 
-    def __init__(self, detail: str, *, kept: bytes = b"") -> None:
+    def __init__(self, detail: str, *, valid_events: bytes = b"") -> None:
         super().__init__(detail)
-        self.kept = kept
+        self.valid_events = valid_events
 
 
 @dataclass(frozen=True, slots=True)
@@ -66,7 +66,7 @@
 
 
 @dataclass(slots=True)
-class AnswerSoFar:
+class PartialAnswer:
     """What of a streamed answer has passed, for another engine to go on with.
 
     Parameters
@@ -84,15 +84,15 @@
     """
 
     pieces: list[str] = field(default_factory=list)
-    plain: bool = True
-    finished: bool = False
+    is_text_only: bool = True
+    is_finished: bool = False
     usage: Usage | None = None
-    head: dict[str, Any] = field(default_factory=dict)
+    common_fields: dict[str, Any] = field(default_factory=dict)
 
     @property
-    def begun(self) -> bool:
+    def has_begun(self) -> bool:
         """Whether an event of it has passed."""
-        return bool(self.head)
+        return bool(self.common_fields)
 
     @property
     def text(self) -> str:
@@ -102,10 +102,10 @@
     @property
     def can_continue(self) -> bool:
         """Whether another engine can go on: there is text, only text, and its cost is known."""
-        known = bool(self.pieces) and self.usage is not None
-        return self.plain and known and not self.finished
+        has_text_and_usage = bool(self.pieces) and self.usage is not None
+        return self.is_text_only and has_text_and_usage and not self.is_finished
 
-    def is_whole(self, max_tokens: int) -> bool:
+    def is_complete(self, max_tokens: int) -> bool:
         """Return whether nothing but the stream's end is missing.
 
         Parameters
@@ -115,39 +115,41 @@
         """
         if self.usage is None:
             return False
-        return self.finished or (self.plain and self.usage.completion_tokens >= max_tokens)
+        return self.is_finished or (
+            self.is_text_only and self.usage.completion_tokens >= max_tokens
+        )
 
-    def closing(self, *, wants_usage: bool) -> bytes:
+    def closing_events(self, *, wants_usage: bool) -> bytes:
         """Return the events that end a whole answer whose engine is gone."""
         events: list[dict[str, Any]] = []
-        if not self.finished:
+        if not self.is_finished:
             choice = {"index": 0, "delta": {}, "finish_reason": "length"}
-            events.append({**self.head, "choices": [choice]})
+            events.append({**self.common_fields, "choices": [choice]})
         if wants_usage and self.usage is not None:
-            events.append({**self.head, "choices": [], "usage": self.usage.as_json()})
-        return b"".join(_event(event) for event in events) + _DONE + _END
+            events.append({**self.common_fields, "choices": [], "usage": self.usage.as_json()})
+        return b"".join(_event(event) for event in events) + _END_MARKER + _EVENT_END
 
-    def note(self, value: dict[str, Any]) -> None:
+    def add_event(self, value: dict[str, Any]) -> None:
         """Take an event that passes."""
-        if not self.head:
-            self.head = {key: value[key] for key in _HEAD_KEYS if key in value}
+        if not self.common_fields:
+            self.common_fields = {key: value[key] for key in _COMMON_KEYS if key in value}
         try:
             (choice,) = value["choices"]
             delta = choice["delta"]
             if choice.get("finish_reason") is not None:
-                self.finished = True
-            if not delta.keys() <= _PLAIN_KEYS:
-                self.plain = False
+                self.is_finished = True
+            if not delta.keys() <= _TEXT_DELTA_KEYS:
+                self.is_text_only = False
             self.pieces.append(delta.get("content") or "")
         except (TypeError, ValueError, KeyError, AttributeError):
-            self.plain = False
+            self.is_text_only = False
 
 
 #: Fields of an event's delta that text alone makes up for.
-_PLAIN_KEYS = frozenset({"role", "content"})
+_TEXT_DELTA_KEYS = frozenset({"role", "content"})
 
 #: Fields that all events of an answer share.
-_HEAD_KEYS = ("id", "object", "created", "model")
+_COMMON_KEYS = ("id", "object", "created", "model")
 
 
 class StreamCheck:
@@ -171,20 +173,20 @@
     answer shows by the missing end marker, which `finish` asks for.
     """
 
-    def __init__(self, *, wants_usage: bool, before: AnswerSoFar | None = None) -> None:
-        self.so_far = before or AnswerSoFar()
-        self.done = False
-        self.reports_usage = False
+    def __init__(self, *, wants_usage: bool, prior_answer: PartialAnswer | None = None) -> None:
+        self.answer = prior_answer or PartialAnswer()
+        self.is_done = False
+        self.has_reported_usage = False
         self._wants_usage = wants_usage
-        self._continues = self.so_far.begun
-        self._usage_before = self.so_far.usage
+        self._is_continuation = self.answer.has_begun
+        self._prior_usage = self.answer.usage
         self._engine_answer_id: str | None = None
-        self._rest = b""
+        self._buffer = b""
 
     @property
     def usage(self) -> Usage | None:
         """Usage of the whole answer so far; None if no engine has reported any."""
-        return self.so_far.usage
+        return self.answer.usage
 
     def feed(self, data: bytes) -> bytes:
         """Return what of `data` is to be sent on.
@@ -194,22 +196,22 @@
         BrokenStreamError
             If an event is not JSON, of another answer, an error, or after the end marker.
         """
-        data = self._rest + data if self._rest else data
-        end = data.rfind(_END)
+        data = self._buffer + data if self._buffer else data
+        end = data.rfind(_EVENT_END)
         if end < 0:
             if len(data) > MAX_EVENT_BYTES:
                 raise BrokenStreamError(f"an event of over {MAX_EVENT_BYTES} bytes")
-            self._rest = data
+            self._buffer = data
             return b""
-        self._rest = data[end + 2 :]
-        kept: list[bytes] = []
+        self._buffer = data[end + 2 :]
+        valid_events: list[bytes] = []
         try:
-            for event in data[:end].split(_END):
-                kept.append(self._pass(event))
+            for event in data[:end].split(_EVENT_END):
+                valid_events.append(self._filter_event(event))
         except BrokenStreamError as error:
             # What came before the fault counts as sent: another engine goes on after it.
-            raise BrokenStreamError(str(error), kept=b"".join(kept)) from error
-        return b"".join(kept)
+            raise BrokenStreamError(str(error), valid_events=b"".join(valid_events)) from error
+        return b"".join(valid_events)
 
     def finish(self) -> None:
         """Take the end of the connection.
@@ -219,21 +221,21 @@
         BrokenStreamError
             If the end marker has not come.
         """
-        if not self.done:
+        if not self.is_done:
             raise BrokenStreamError("the connection ended before the end marker")
 
-    def _pass(self, event: bytes) -> bytes:
+    def _filter_event(self, event: bytes) -> bytes:
         """Return the event as it is sent on; nothing if it is held back."""
-        if self.done:
+        if self.is_done:
             raise BrokenStreamError("an event after the end marker")
-        if event.startswith(_DONE):
-            self.done = True
-            return event + _END
-        if not event.startswith(_DATA):
+        if event.startswith(_END_MARKER):
+            self.is_done = True
+            return event + _EVENT_END
+        if not event.startswith(_DATA_FIELD):
             # Comments and other fields keep a connection open; they carry nothing.
             return b""
         try:
-            value = from_json(event[len(_DATA) :])
+            value = from_json(event[len(_DATA_FIELD) :])
         except ValueError as error:
             raise BrokenStreamError("an event is not JSON") from error
         if not isinstance(value, dict) or "error" in value:
@@ -242,10 +244,10 @@
         self._note_usage(value)
         choices = value.get("choices")
         if choices:
-            self.so_far.note(value)
+            self.answer.add_event(value)
         elif not self._wants_usage:
             return b""
-        return self._as_first(value) if self._continues else event + _END
+        return self._rewrite_as_first_engine(value) if self._is_continuation else event + _EVENT_END
 
     def _check_id(self, answer_id: object) -> None:
         if not isinstance(answer_id, str):
@@ -259,17 +261,17 @@
         usage = read_usage(value)
         if usage is None:
             return
-        self.reports_usage = True
-        before = self._usage_before
-        if before is not None:
+        self.has_reported_usage = True
+        prior = self._prior_usage
+        if prior is not None:
             # The prompt of the engine that goes on holds the answer so far: counted once only.
-            usage = Usage(before.prompt_tokens, before.completion_tokens + usage.completion_tokens)
-        self.so_far.usage = usage
+            usage = Usage(prior.prompt_tokens, prior.completion_tokens + usage.completion_tokens)
+        self.answer.usage = usage
 
-    def _as_first(self, value: dict[str, Any]) -> bytes:
+    def _rewrite_as_first_engine(self, value: dict[str, Any]) -> bytes:
         """Return an event of a later engine as one of the first engine's."""
-        value["id"] = self.so_far.head["id"]
-        usage = self.so_far.usage
+        value["id"] = self.answer.common_fields["id"]
+        usage = self.answer.usage
         if value.get("usage") and usage is not None:
             value["usage"] = usage.as_json()
         for choice in value.get("choices") or ():
@@ -279,4 +281,4 @@
 
 
 def _event(value: dict[str, Any]) -> bytes:
-    return _DATA + b" " + to_json(value) + _END
+    return _DATA_FIELD + b" " + to_json(value) + _EVENT_END
--- a/mothstand/core/succession.py
+++ b/mothstand/core/succession.py
@@ -25,36 +25,36 @@
         When it first sent a renewal, on the monotonic clock; None before.
     """
 
-    me: Peer
+    local_peer: Peer
     started_s: float
     started_wall_s: float
     first_sent_s: float | None = None
     renewals: RenewalLog = field(default_factory=RenewalLog)
-    _predecessor: Renewal | None = None
+    _predecessor_renewal: Renewal | None = None
     _first_renewal: Renewal | None = None
 
-    def sending(self, now_s: float) -> None:
+    def note_first_send(self, now_s: float) -> None:
         """Note that a renewal is being sent; only the first time counts."""
         if self.first_sent_s is None:
             self.first_sent_s = now_s
 
-    def note(self, renewal: Renewal) -> None:
+    def apply_renewal(self, renewal: Renewal) -> None:
         """Take a renewal of any process, in the order of the stream."""
-        self.renewals.note(renewal)
-        if renewal.peer.instance != self.me.instance:
+        self.renewals.add(renewal)
+        if renewal.peer.instance != self.local_peer.instance:
             return
-        if renewal.peer != self.me:
-            self._predecessor = renewal
+        if renewal.peer != self.local_peer:
+            self._predecessor_renewal = renewal
         elif self._first_renewal is None:
             self._first_renewal = renewal
 
-    def reclaimed(self, table: ClaimTable) -> list[Claim]:
+    def reclaimable_claims(self, table: ClaimTable) -> list[Claim]:
         """Return the predecessor's claims without what it surely did not spend."""
-        last, start = self._predecessor, self._first_renewal
+        last, start = self._predecessor_renewal, self._first_renewal
         if last is None or start is None or self.first_sent_s is None:
             return []
         start_took_s = self.first_sent_s - self.started_s
-        gap_s = self.renewals.longest_gap_s(last, start, self.started_wall_s, start_took_s)
+        gap_s = self.renewals.max_gap_s(last, start, self.started_wall_s, start_took_s)
         if gap_s is None:
             return []
         holder = Holder(last.peer.instance, last.peer.incarnation)
--- a/mothstand/core/upstreams.py
+++ b/mothstand/core/upstreams.py
@@ -41,7 +41,7 @@
     address: str
     data_centre: DataCentre
     slots: int
-    draining: bool
+    is_draining: bool
     born_ms: int = 0
 
     @property
@@ -65,14 +65,14 @@
     is not given where a peer heard the store throughout (`read`).
     """
 
-    known: dict[str, RegisteredUpstream] = field(default_factory=dict)
-    _ended: set[UpstreamKey] = field(default_factory=set)
-    _doomed: dict[str, float] = field(default_factory=dict)
-    _read_at_s: float | None = None
-    _followed_since_s: float = 0.0
+    upstreams: dict[str, RegisteredUpstream] = field(default_factory=dict)
+    _ended_processes: set[UpstreamKey] = field(default_factory=set)
+    _expires_s: dict[str, float] = field(default_factory=dict)
+    _store_read_s: float | None = None
+    _gapless_since_s: float = 0.0
     _grace_until_s: float = 0.0
 
-    def read(self, now_s: float, *, store_was_up: bool = False) -> None:
+    def note_store_read(self, now_s: float, *, store_was_up: bool = False) -> None:
         """Note that the store answered; call before applying what it said.
 
         Parameters
@@ -81,60 +81,60 @@
             Whether the store is known to have been up since its last answer.
         """
         is_after_gap = self.gap_s(now_s) > 0
-        if is_after_gap or self._read_at_s is None:
-            self._followed_since_s = now_s
+        if is_after_gap or self._store_read_s is None:
+            self._gapless_since_s = now_s
         if is_after_gap and not store_was_up:
             self._grace_until_s = now_s + REGISTRATION_GRACE_S
-        self._read_at_s = now_s
+        self._store_read_s = now_s
 
     def gap_s(self, now_s: float) -> float:
         """Return the seconds since the store's last answer if they are too many, else 0."""
         age_s = self.age_s(now_s) or 0.0
         return age_s if age_s > OUTAGE_AFTER_S else 0.0
 
-    def followed_s(self, now_s: float) -> float:
+    def gapless_s(self, now_s: float) -> float:
         """Return for how long the store's word has been followed without a gap, up to now."""
-        if self._read_at_s is None or self.gap_s(now_s):
+        if self._store_read_s is None or self.gap_s(now_s):
             return 0.0
-        return now_s - self._followed_since_s
+        return now_s - self._gapless_since_s
 
     def age_s(self, now_s: float) -> float | None:
         """Return the seconds since the store was last heard, or None before the first time."""
-        return None if self._read_at_s is None else now_s - self._read_at_s
+        return None if self._store_read_s is None else now_s - self._store_read_s
 
-    def ended(self, upstream: RegisteredUpstream) -> None:
+    def note_process_ended(self, upstream: RegisteredUpstream) -> None:
         """Note that a process has surely ended, whatever its registration says.
 
         While the store is away, and for some heartbeats after, its registration would draw requests
         to an address that refuses them. A later start under the same id is another process.
         """
-        self._ended.add(upstream.key)
-        known = self.known.get(upstream.upstream_id)
-        if known is not None and known.key == upstream.key:
-            del self.known[upstream.upstream_id]
+        self._ended_processes.add(upstream.key)
+        registered = self.upstreams.get(upstream.upstream_id)
+        if registered is not None and registered.key == upstream.key:
+            del self.upstreams[upstream.upstream_id]
 
-    def put(self, upstream: RegisteredUpstream) -> bool:
+    def apply(self, upstream: RegisteredUpstream) -> bool:
         """Take a registration and return whether anything but its age changed."""
-        if upstream.key in self._ended:
+        if upstream.key in self._ended_processes:
             return False
-        self._doomed.pop(upstream.upstream_id, None)
-        changed = self.known.get(upstream.upstream_id) != upstream
-        self.known[upstream.upstream_id] = upstream
+        self._expires_s.pop(upstream.upstream_id, None)
+        changed = self.upstreams.get(upstream.upstream_id) != upstream
+        self.upstreams[upstream.upstream_id] = upstream
         return changed
 
-    def offer(self, upstream: RegisteredUpstream) -> None:
+    def apply_second_hand(self, upstream: RegisteredUpstream) -> None:
         """Take a registration by hearsay, which may be older than what is known."""
-        known = self.known.get(upstream.upstream_id)
-        if known is None or known.born_ms < upstream.born_ms:
-            self.put(upstream)
+        registered = self.upstreams.get(upstream.upstream_id)
+        if registered is None or registered.born_ms < upstream.born_ms:
+            self.apply(upstream)
 
     def discard(self, upstream_id: str) -> None:
         """Drop a registration that another writer has replaced by something unusable.
 
         Whoever wrote it, it no longer names an upstream; the upstream's next one brings it back.
         """
-        self._doomed.pop(upstream_id, None)
-        self.known.pop(upstream_id, None)
+        self._expires_s.pop(upstream_id, None)
+        self.upstreams.pop(upstream_id, None)
 
     def remove(self, upstream_id: str, now_s: float) -> float:
         """Take the end of a registration: at once, or after the grace that follows an outage.
@@ -144,12 +144,12 @@
         float
             Seconds for which the upstream is used on.
         """
-        if upstream_id not in self.known:
+        if upstream_id not in self.upstreams:
             return 0.0
         if now_s < self._grace_until_s:
-            self._doomed[upstream_id] = self._grace_until_s
+            self._expires_s[upstream_id] = self._grace_until_s
             return self._grace_until_s - now_s
-        del self.known[upstream_id]
+        del self.upstreams[upstream_id]
         return 0.0
 
     def replace_all(self, upstreams: list[RegisteredUpstream], now_s: float) -> dict[str, float]:
@@ -162,22 +162,22 @@
         """
         listed = {u.upstream_id for u in upstreams}
         for upstream in upstreams:
-            self.put(upstream)
-        return {i: self.remove(i, now_s) for i in list(self.known) if i not in listed}
+            self.apply(upstream)
+        return {i: self.remove(i, now_s) for i in list(self.upstreams) if i not in listed}
 
     @property
     def next_expiry_s(self) -> float | None:
         """When the first upstream whose registration has ended is to be dropped, or None."""
-        return min(self._doomed.values(), default=None)
+        return min(self._expires_s.values(), default=None)
 
     def expire(self, now_s: float) -> list[str]:
         """Drop what is still missing after the grace, and return it."""
-        gone = [i for i, until_s in self._doomed.items() if now_s >= until_s]
-        for upstream_id in gone:
-            del self._doomed[upstream_id]
-            self.known.pop(upstream_id, None)
-        return gone
+        expired = [i for i, until_s in self._expires_s.items() if now_s >= until_s]
+        for upstream_id in expired:
+            del self._expires_s[upstream_id]
+            self.upstreams.pop(upstream_id, None)
+        return expired
 
-    def of_service(self, service: str) -> list[RegisteredUpstream]:
+    def accepting_upstreams(self, service: str) -> list[RegisteredUpstream]:
         """Return the upstreams of a service that take new requests."""
-        return [u for u in self.known.values() if u.service == service and not u.draining]
+        return [u for u in self.upstreams.values() if u.service == service and not u.is_draining]
--- a/mothstand/docs_pages.py
+++ b/mothstand/docs_pages.py
@@ -39,7 +39,7 @@
     for kind, row in ANSWERS.items():
         after = "no" if row.retry_after_s is None else f"{row.retry_after_s} s"
         lines.append(
-            f"| `{kind.value}` | {row.status} | {row.run_state.value} | {after} | {row.text} |"
+            f"| `{kind.value}` | {row.status} | {row.run_state.value} | {after} | {row.message} |"
         )
     return "\n".join(lines) + "\n"
 
@@ -64,7 +64,7 @@
 def settings_page() -> str:
     """Return the reference of all settings."""
     lines = ["# Settings", "", "## An instance's file (`mothstand serve --settings FILE`)", ""]
-    for name, model in instance.SECTIONS.items():
+    for name, model in instance.INSTANCE_SECTIONS.items():
         lines += _section_lines(f"[{name}]", model)
     lines += ["## A gateway instance's file (`mothstand gateway --settings FILE`)", ""]
     for name, model in gateway.GATEWAY_SECTIONS.items():
@@ -78,7 +78,7 @@
         "earlier one's. `#` starts a comment.",
         "",
     ]
-    for name, model in folder.MODELS.items():
+    for name, model in folder.SECTION_MODELS.items():
         lines += _section_lines("[policy]" if name == "policy" else f"[{name} NAME]", model)
     return "\n".join(lines)
 
@@ -93,12 +93,12 @@
     yield "| key | default | value |"
     yield "| --- | --- | --- |"
     for key, field in model.model_fields.items():
-        default = "(needed)" if field.is_required() else f"`{_shown(field.default)}`"
+        default = "(needed)" if field.is_required() else f"`{_default_text(field.default)}`"
         yield f"| `{key}` | {default} | {field.description or ''} |"
     yield ""
 
 
-def _shown(default: object) -> str:
+def _default_text(default: object) -> str:
     return " ".join(default) if isinstance(default, tuple) else str(default)
 
 
--- a/mothstand/entry/answers.py
+++ b/mothstand/entry/answers.py
@@ -15,14 +15,14 @@
 
 def refusal_body(refusal: Refusal) -> bytes:
     """Return the JSON body of a refusal, in the shape that chat-completions clients read."""
-    message = f"{refusal.row.text} {refusal.detail}".strip()
+    message = f"{refusal.answer.message} {refusal.detail}".strip()
     error = {
         "message": message,
         "type": refusal.kind.value,
         "code": refusal.kind.value,
         "param": None,
-        "run_state": refusal.row.run_state.value,
-        "retry_after_s": refusal.come_back_s,
+        "run_state": refusal.answer.run_state.value,
+        "retry_after_s": refusal.effective_retry_after_s,
     }
     return json.dumps({"error": error}).encode()
 
@@ -30,11 +30,11 @@
 def refusal_headers(refusal: Refusal) -> dict[str, str]:
     """Return the headers of a refusal: when to come back, and whether that is safe."""
     headers = {"content-type": "application/json"}
-    if refusal.come_back_s is None:
+    if refusal.effective_retry_after_s is None:
         # Client libraries repeat requests on 5xx by themselves unless told not to.
         headers["x-should-retry"] = "false"
     else:
-        headers["retry-after"] = f"{refusal.come_back_s:g}"
+        headers["retry-after"] = f"{refusal.effective_retry_after_s:g}"
     return headers
 
 
@@ -56,4 +56,4 @@
     headers = refusal_headers(refusal)
     if request_id:
         headers[REQUEST_ID_HEADER] = request_id
-    await send_whole(send, refusal.row.status, headers, refusal_body(refusal))
+    await send_whole(send, refusal.answer.status, headers, refusal_body(refusal))
--- a/mothstand/entry/app.py
+++ b/mothstand/entry/app.py
@@ -183,14 +183,16 @@
         if sink.started:
             await sink.end()
             return
-        await sink.send_whole(refusal.row.status, refusal_headers(refusal), refusal_body(refusal))
+        await sink.send_whole(
+            refusal.answer.status, refusal_headers(refusal), refusal_body(refusal)
+        )
 
     async def _join_elsewhere(
         self, request: Request, taken: CallerRequest, known: KnownKey | None, send: Send
     ) -> None:
         """Pass a retry on to the instance that runs or ran its key."""
         address = "" if known is None else self._context.owner_of(known)
-        here = self._context.membership.me.callers_address
+        here = self._context.membership.local_member.callers_address
         if known is None or not address or address == here or taken.forwarded:
             raise RefusedError(_not_joinable(known))
         headers = {
@@ -291,7 +293,7 @@
             "leaving": context.activity.leaving,
             "running": context.activity.running,
             "config_offset": context.config().offset,
-            "instance": context.membership.me.name,
+            "instance": context.membership.local_member.name,
             "data_centre": context.membership.data_centre,
         }
         return JSONResponse(body, status_code=200 if ready else 503)
--- a/mothstand/entry/budgeted.py
+++ b/mothstand/entry/budgeted.py
@@ -140,7 +140,7 @@
     def __enter__(self) -> Attempt:
         """Count the request."""
         self._started_s = self._context.clock.monotonic_s()
-        self._context.router.started(self._upstream.name)
+        self._context.router.note_started(self._upstream.name)
         return self
 
     def __exit__(
@@ -152,8 +152,8 @@
         """Count its end."""
         now_s = self._context.clock.monotonic_s()
         took_s = now_s - self._started_s
-        self._context.router.ended(
-            self._upstream.name, failed=self.failed, took_s=took_s, now_s=now_s
+        self._context.router.note_ended(
+            self._upstream.name, failed=self.failed, elapsed_s=took_s, now_s=now_s
         )
 
     def heard(self, response: httpx.Response) -> None:
@@ -161,7 +161,7 @@
         load = read_load(response.headers.get(LOAD_HEADER, ""))
         if load is not None:
             now_s = self._context.clock.monotonic_s()
-            self._context.router.reported(self._upstream.name, load, now_s)
+            self._context.router.note_load_report(self._upstream.name, load, now_s)
 
     def fail(self, error: Exception) -> None:
         """Count a failure of the upstream."""
--- a/mothstand/entry/chat.py
+++ b/mothstand/entry/chat.py
@@ -9,7 +9,7 @@
 
 from ..core.config import OrderCheck
 from ..core.routing import RouteCall
-from ..core.stream_check import AnswerSoFar, BrokenStreamError, StreamCheck, read_usage
+from ..core.stream_check import BrokenStreamError, PartialAnswer, StreamCheck, read_usage
 from ..errors import ErrorKind, Refusal, RefusedError
 from ..events import Event, emit
 from ..histograms import record_s
@@ -42,7 +42,7 @@
         self._started_s = context.clock.monotonic_s()
         self._config: FleetConfig = context.config().config
         self._body = self._parse(request.body)
-        self._so_far = AnswerSoFar()
+        self._so_far = PartialAnswer()
         self._max_tokens = (
             self._body.max_completion_tokens
             or self._body.max_tokens
@@ -84,7 +84,7 @@
         allowed = self._request.caller.workspace.models
         if allowed and model not in allowed:
             raise RefusedError(Refusal(ErrorKind.MODEL_NOT_ALLOWED, f"model: {model!r}"))
-        if not self._config.serving(model):
+        if not self._config.upstreams_serving(model):
             raise RefusedError(Refusal(ErrorKind.UNKNOWN_MODEL, f"model: {model!r}"))
 
     def _route(self, tried: frozenset[str]) -> RouteCall:
@@ -92,8 +92,8 @@
             serves=self._body.model,
             prefix=self._body.prefix,
             priority=self._request.caller.workspace.priority,
-            tried=tried,
-            resumes=self._so_far.begun,
+            tried_upstreams=tried,
+            must_resume=self._so_far.has_begun,
         )
 
     async def _dispatch(self, charge: Charge, sink: AnswerSink) -> None:
@@ -130,8 +130,8 @@
                 raise
             except (MayHaveRunError, BrokenStreamError) as error:
                 attempt.fail(error)
-                if self._so_far.is_whole(self._max_tokens):
-                    await sink.send(self._so_far.closing(wants_usage=self._wants_usage))
+                if self._so_far.is_complete(self._max_tokens):
+                    await sink.send(self._so_far.closing_events(wants_usage=self._wants_usage))
                     await sink.end()
                     return
                 self._check_goes_on(sink, upstream, error)
@@ -140,7 +140,7 @@
     def _check_goes_on(self, sink: AnswerSink, upstream: Upstream, error: Exception) -> None:
         """Refuse if an answer that has begun cannot be gone on with by another engine."""
         if not sink.started:
-            self._so_far = AnswerSoFar()
+            self._so_far = PartialAnswer()
             return
         if not (self._so_far.can_continue and self._body.can_continue):
             raise RefusedError(Refusal(ErrorKind.ANSWER_BROKEN, str(error))) from error
@@ -197,16 +197,16 @@
     async def _take_stream(
         self, response: httpx.Response, charge: Charge, sink: AnswerSink
     ) -> None:
-        check = StreamCheck(wants_usage=self._wants_usage, before=self._so_far)
+        check = StreamCheck(wants_usage=self._wants_usage, prior_answer=self._so_far)
         async for data in response.aiter_raw():
             try:
                 kept = check.feed(data)
             except BrokenStreamError as error:
-                await self._pass_on(error.kept, check, charge, sink)
+                await self._pass_on(error.valid_events, check, charge, sink)
                 raise
             await self._pass_on(kept, check, charge, sink)
         check.finish()
-        if not check.reports_usage:
+        if not check.has_reported_usage:
             charge.used_tokens = charge.bound_tokens
         await sink.end()
 
--- a/mothstand/entry/context.py
+++ b/mothstand/entry/context.py
@@ -115,7 +115,7 @@
 
     def sharers(self) -> int:
         """Return how many instances share this data centre's upstreams."""
-        return max(1, len(self.membership.alive_here(self.clock.monotonic_s())))
+        return max(1, len(self.membership.local_alive(self.clock.monotonic_s())))
 
     def owner_of(self, known: KnownKey) -> str:
         """Return the callers' address of the instance that runs or ran a keyed request, or ""."""
--- a/mothstand/entry/heartbeats.py
+++ b/mothstand/entry/heartbeats.py
@@ -6,7 +6,7 @@
 
 import anyio
 
-from ..core.membership import PeerState, ProbePace
+from ..core.membership import PeerState, ProbeRates
 from ..events import Event, emit
 from ..log.instances import InstanceList, ListError
 from ..peers.failures import PeerError
@@ -74,15 +74,15 @@
             listed = await self._listing.read()
         except ListError:
             return
-        self._router.leaving = frozenset(i.name for i in listed if i.leaving)
-        self._membership.listed(
+        self._router.draining = frozenset(i.name for i in listed if i.leaving)
+        self._membership.apply_listing(
             (
                 PeerState(
                     name=i.name,
                     address=i.address,
                     data_centre=DataCentre(i.data_centre),
                     seen_at_s=0.0,
-                    leaving=i.leaving,
+                    is_stopping=i.leaving,
                 )
                 for i in listed
                 if i.address
@@ -92,10 +92,10 @@
 
     async def run_probes(self) -> None:
         """Probe the peers that are due, again and again, until cancelled."""
-        pace = ProbePace(self._timing.heartbeat_s, self._timing.probes_per_s)
+        pace = ProbeRates(self._timing.heartbeat_s, self._timing.probes_per_s)
         while True:
             now_s = self._clock.monotonic_s()
-            peers = self._membership.due(self._partners(), pace, now_s)
+            peers = self._membership.due_probes(self._partners(), pace, now_s)
             async with anyio.create_task_group() as tasks:
                 if not self._membership.peers:
                     for address in self._seeds:
@@ -108,23 +108,25 @@
     async def _probe_seed(self, address: str) -> None:
         try:
             result = await self._peers.probe(
-                address, self._membership.me, timeout_s=self._timing.suspect_after_s / 2
+                address, self._membership.local_member, timeout_s=self._timing.suspect_after_s / 2
             )
         except PeerError:
             return
         now_s = self._clock.monotonic_s()
-        self._membership.introduce(result.member, result.data_centre, now_s)
+        self._membership.add_seed_peer(result.member, result.data_centre, now_s)
 
     async def _probe(self, peer: PeerState) -> None:
         try:
             result = await self._peers.probe(
-                peer.address, self._membership.me, timeout_s=self._timing.suspect_after_s / 2
+                peer.address,
+                self._membership.local_member,
+                timeout_s=self._timing.suspect_after_s / 2,
             )
         except PeerError:
             self._note_silence(peer)
             return
         now_s = self._clock.monotonic_s()
-        new = self._membership.answered(result.member, leaving=result.leaving, now_s=now_s)
+        new = self._membership.note_response(result.member, leaving=result.leaving, now_s=now_s)
         if new:
             self._suspected.discard(peer.name)
             emit(Event.PEER_SEEN, peer=peer.name, incarnation=result.member.incarnation)
--- a/mothstand/entry/instance.py
+++ b/mothstand/entry/instance.py
@@ -25,10 +25,10 @@
 from ..ledger.service import LedgerService
 from ..ledger.state import ShardContext
 from ..log.client import HttpLog
-from ..log.health import LogHealth
+from ..log.health import PlatformHealth
 from ..log.instances import HttpInstanceList
+from ..log.monitored import MonitoredLog
 from ..log.reader import LogReader
-from ..log.watched import WatchedLog
 from ..log.writer import LogWriter, Pace
 from ..peers.client import GrpcPeers
 from ..peers.server import PeerService, make_server
@@ -93,8 +93,8 @@
         )
         timing = settings.timing
         self._http_log = HttpLog.from_settings(settings)
-        self._log_health = LogHealth(clock)
-        self._log = WatchedLog(self._http_log, self._log_health)
+        self._log_health = PlatformHealth(clock)
+        self._log = MonitoredLog(self._http_log, self._log_health)
         self._peers = GrpcPeers(settings.secrets.fleet_key)
         self._upstreams = UpstreamClient(timing)
         self._router = Router(settings.data_centre)
@@ -136,7 +136,7 @@
             CONFIG_STREAM,
             self._apply_config,
             clock=clock,
-            load=self._load_config,
+            load_snapshot=self._load_config,
         )
         self._readers = self._make_readers()
         self._engine_control = HttpEngineControl(timing.connect_timeout_s)
@@ -206,7 +206,7 @@
             clock=self._clock,
             timing=self._settings.timing,
             config=lambda: self._configuration.state.config,
-            log_silent_s=self._log_health.silent_s,
+            log_silent_s=self._log_health.failing_s,
             data_centres=lambda: self._data_centres,
         )
 
@@ -235,7 +235,7 @@
                     ledger_stream(shard),
                     _ledger_only(apply),
                     clock=self._clock,
-                    load=_ledger_snapshot_only(node.load),
+                    load_snapshot=_ledger_snapshot_only(node.load),
                 )
             )
         return readers
@@ -273,7 +273,7 @@
     def _on_peer_config(self, address: str, offset: int) -> None:
         """Fetch a newer configuration of a peer, as after a start while the platform is out."""
         behind = offset > self._configuration.state.offset
-        if behind and self._log_health.silent_s() > 0 and address not in self._fetching:
+        if behind and self._log_health.failing_s() > 0 and address not in self._fetching:
             self._fetching.add(address)
             self._spawn(self._fetch_config(address))
 
@@ -312,7 +312,7 @@
 
     def _ready_to_lead(self) -> bool:
         """Whether peers were probed and the streams read, so that epochs are not opened blindly."""
-        return self._heartbeats.probed and all(reader.caught_up for reader in self._readers)
+        return self._heartbeats.probed and all(reader.is_caught_up for reader in self._readers)
 
     async def _keep_running(self, loop: Callable[[], Awaitable[None]]) -> None:
         """Run a background loop; a fault in one must not end the instance and all its streams."""
@@ -338,7 +338,7 @@
     async def _drain(self) -> None:
         """Stop gracefully: no new work, running answers end, epochs and bills go to the log."""
         self._context.activity.leaving = True
-        self._membership.leaving = True
+        self._membership.is_stopping = True
         # The balancer sends on until it has looked at /health again: refusing at once would be
         # a refusal that a planned stop need not cost.
         await self._clock.sleep(self._settings.timing.lame_duck_s)
@@ -348,13 +348,13 @@
             while self._context.activity.running or self._ledger.unsettled:
                 await self._clock.sleep(_DRAIN_CHECK_S)
         for writer in self._writers:
-            writer.hurry()
+            writer.disable_linger()
         with anyio.move_on_after(_HAND_OVER_S):
             while self._ledger.leads_any(self._others_here()) or self._pending_appends():
                 await self._clock.sleep(_DRAIN_CHECK_S)
 
     def _others_here(self) -> bool:
-        return bool(self._membership.alive_here(self._clock.monotonic_s()))
+        return bool(self._membership.local_alive(self._clock.monotonic_s()))
 
     def _pending_appends(self) -> int:
         return sum(writer.pending for writer in self._writers)
--- a/mothstand/entry/metrics.py
+++ b/mothstand/entry/metrics.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from ..histograms import lines_of, new_histogram
+from ..histograms import metric_lines, new_histogram
 
 if TYPE_CHECKING:
     from hdrh.histogram import HdrHistogram
@@ -25,5 +25,5 @@
         """Return all figures as lines of name and value."""
         lines = [f"mothstand_{name} {value}" for name, value in sorted(self.counts.items())]
         for name in ("reserve_us", "first_byte_us", "whole_us"):
-            lines += lines_of(name, getattr(self, name))
+            lines += metric_lines(name, getattr(self, name))
         return "\n".join(lines) + "\n"
--- a/mothstand/entry/orders.py
+++ b/mothstand/entry/orders.py
@@ -58,8 +58,10 @@
         """Look once at each engine that this instance orders."""
         state = self._config()
         now_s = self._clock.monotonic_s()
-        alive = self._membership.alive_here(now_s)
-        engines = self._planner.engines(state.config, alive, state.config.weight_loads, now_s)
+        alive = self._membership.local_alive(now_s)
+        engines = self._planner.engines_to_poll(
+            state.config, alive, state.config.weight_loads, now_s
+        )
         for engine in engines:
             await self._look_at(engine)
 
--- a/mothstand/entry/services.py
+++ b/mothstand/entry/services.py
@@ -115,7 +115,7 @@
             serves=self._service.name,
             prefix=self._request.request_id,
             priority=self._request.caller.workspace.priority,
-            tried=tried,
+            tried_upstreams=tried,
         )
 
     async def _dispatch(self, charge: Charge, sink: AnswerSink) -> int:
