--- a/mothstand/errors.py
+++ b/mothstand/errors.py
@@ -51,7 +51,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerRow:
+class ErrorAnswer:
     """How one error kind is answered.
 
     Parameters
@@ -69,70 +69,75 @@
     status: int
     run_state: RunState
     retry_after_s: int | None
-    text: str
+    message: str
 
 
-_NOT = RunState.NOT_RUN
-_MAY = RunState.MAY_HAVE_RUN
+_NOT_RUN = RunState.NOT_RUN
+_MAY_HAVE_RUN = RunState.MAY_HAVE_RUN
 _RAN = RunState.RAN
 
-ANSWERS: dict[ErrorKind, AnswerRow] = {
-    ErrorKind.UNAUTHORIZED: AnswerRow(
-        401, _NOT, None, "No workspace has this key. Send 'Authorization: Bearer KEY'."
+ANSWERS: dict[ErrorKind, ErrorAnswer] = {
+    ErrorKind.UNAUTHORIZED: ErrorAnswer(
+        401, _NOT_RUN, None, "No workspace has this key. Send 'Authorization: Bearer KEY'."
     ),
-    ErrorKind.MODEL_NOT_ALLOWED: AnswerRow(
-        403, _NOT, None, "The workspace may not use this model. Ask its operator."
+    ErrorKind.MODEL_NOT_ALLOWED: ErrorAnswer(
+        403, _NOT_RUN, None, "The workspace may not use this model. Ask its operator."
     ),
-    ErrorKind.UNKNOWN_MODEL: AnswerRow(404, _NOT, None, "No upstream serves this model."),
-    ErrorKind.UNKNOWN_SERVICE: AnswerRow(404, _NOT, None, "No service has this name."),
-    ErrorKind.UNKNOWN_PATH: AnswerRow(404, _NOT, None, "There is nothing at this path."),
-    ErrorKind.MALFORMED_REQUEST: AnswerRow(400, _NOT, None, "The request cannot be read."),
-    ErrorKind.BODY_TOO_LARGE: AnswerRow(413, _NOT, None, "The body is too large."),
-    ErrorKind.HEAD_TOO_LARGE: AnswerRow(431, _NOT, None, "The headers are too large."),
-    ErrorKind.KEY_REUSED: AnswerRow(
-        422, _NOT, None, "This Idempotency-Key belongs to another body. Use a new key."
+    ErrorKind.UNKNOWN_MODEL: ErrorAnswer(404, _NOT_RUN, None, "No upstream serves this model."),
+    ErrorKind.UNKNOWN_SERVICE: ErrorAnswer(404, _NOT_RUN, None, "No service has this name."),
+    ErrorKind.UNKNOWN_PATH: ErrorAnswer(404, _NOT_RUN, None, "There is nothing at this path."),
+    ErrorKind.MALFORMED_REQUEST: ErrorAnswer(400, _NOT_RUN, None, "The request cannot be read."),
+    ErrorKind.BODY_TOO_LARGE: ErrorAnswer(413, _NOT_RUN, None, "The body is too large."),
+    ErrorKind.HEAD_TOO_LARGE: ErrorAnswer(431, _NOT_RUN, None, "The headers are too large."),
+    ErrorKind.KEY_REUSED: ErrorAnswer(
+        422, _NOT_RUN, None, "This Idempotency-Key belongs to another body. Use a new key."
     ),
-    ErrorKind.KEY_RUNNING: AnswerRow(
-        409, _MAY, 1, "The request of this Idempotency-Key runs already, at another instance."
+    ErrorKind.KEY_RUNNING: ErrorAnswer(
+        409,
+        _MAY_HAVE_RUN,
+        1,
+        "The request of this Idempotency-Key runs already, at another instance.",
     ),
-    ErrorKind.ANSWER_NOT_KEPT: AnswerRow(
+    ErrorKind.ANSWER_NOT_KEPT: ErrorAnswer(
         410, _RAN, None, "The request of this Idempotency-Key ran; its answer is not kept."
     ),
-    ErrorKind.BUDGET_EXHAUSTED: AnswerRow(
-        402, _NOT, None, "The prepaid budget cannot cover the request. Top it up."
+    ErrorKind.BUDGET_EXHAUSTED: ErrorAnswer(
+        402, _NOT_RUN, None, "The prepaid budget cannot cover the request. Top it up."
     ),
-    ErrorKind.BUDGET_RESERVED: AnswerRow(
-        429, _NOT, 2, "Running requests hold the rest of the budget; some of it will come back."
+    ErrorKind.BUDGET_RESERVED: ErrorAnswer(
+        429, _NOT_RUN, 2, "Running requests hold the rest of the budget; some of it will come back."
     ),
-    ErrorKind.BUDGET_OUT_OF_REACH: AnswerRow(
-        503, _NOT, 5, "The budget's rest is held where this data centre cannot get it just now."
+    ErrorKind.BUDGET_OUT_OF_REACH: ErrorAnswer(
+        503, _NOT_RUN, 5, "The budget's rest is held where this data centre cannot get it just now."
     ),
-    ErrorKind.LEDGER_UNAVAILABLE: AnswerRow(
-        503, _NOT, 1, "The budget's leaseholder is being replaced."
+    ErrorKind.LEDGER_UNAVAILABLE: ErrorAnswer(
+        503, _NOT_RUN, 1, "The budget's leaseholder is being replaced."
     ),
-    ErrorKind.PLATFORM_UNREACHABLE: AnswerRow(
-        503, _NOT, 5, "A request that may run once only needs the platform's log, which is out."
+    ErrorKind.PLATFORM_UNREACHABLE: ErrorAnswer(
+        503, _NOT_RUN, 5, "A request that may run once only needs the platform's log, which is out."
     ),
-    ErrorKind.NO_UPSTREAM: AnswerRow(503, _NOT, 5, "No upstream for this can be reached."),
-    ErrorKind.OVERLOADED: AnswerRow(429, _NOT, 1, "All upstreams for this are at their limit."),
-    ErrorKind.NOT_READY: AnswerRow(503, _NOT, 1, "The instance has no configuration yet."),
-    ErrorKind.STOPPING: AnswerRow(503, _NOT, 1, "The instance is stopping."),
-    ErrorKind.QUARANTINED: AnswerRow(
-        503, _NOT, 60, "Upstreams ended while they ran this same request; it is kept from them."
+    ErrorKind.NO_UPSTREAM: ErrorAnswer(503, _NOT_RUN, 5, "No upstream for this can be reached."),
+    ErrorKind.OVERLOADED: ErrorAnswer(
+        429, _NOT_RUN, 1, "All upstreams for this are at their limit."
     ),
-    ErrorKind.UPSTREAM_REFUSED: AnswerRow(
-        502, _NOT, None, "The upstream refused the request and says that it did not run it."
+    ErrorKind.NOT_READY: ErrorAnswer(503, _NOT_RUN, 1, "The instance has no configuration yet."),
+    ErrorKind.STOPPING: ErrorAnswer(503, _NOT_RUN, 1, "The instance is stopping."),
+    ErrorKind.QUARANTINED: ErrorAnswer(
+        503, _NOT_RUN, 60, "Upstreams ended while they ran this same request; it is kept from them."
     ),
-    ErrorKind.OUTCOME_UNKNOWN: AnswerRow(
-        502, _MAY, None, "The upstream got the request and gave no whole answer."
+    ErrorKind.UPSTREAM_REFUSED: ErrorAnswer(
+        502, _NOT_RUN, None, "The upstream refused the request and says that it did not run it."
     ),
-    ErrorKind.ANSWER_BROKEN: AnswerRow(
-        502, _MAY, None, "The answer broke off and could not be resumed."
+    ErrorKind.OUTCOME_UNKNOWN: ErrorAnswer(
+        502, _MAY_HAVE_RUN, None, "The upstream got the request and gave no whole answer."
     ),
-    ErrorKind.TIMED_OUT: AnswerRow(
-        504, _MAY, None, "The upstream got the request and gave no answer in time."
+    ErrorKind.ANSWER_BROKEN: ErrorAnswer(
+        502, _MAY_HAVE_RUN, None, "The answer broke off and could not be resumed."
     ),
-    ErrorKind.INTERNAL: AnswerRow(500, _MAY, None, "The instance failed."),
+    ErrorKind.TIMED_OUT: ErrorAnswer(
+        504, _MAY_HAVE_RUN, None, "The upstream got the request and gave no answer in time."
+    ),
+    ErrorKind.INTERNAL: ErrorAnswer(500, _MAY_HAVE_RUN, None, "The instance failed."),
 }
 
 
@@ -155,14 +160,14 @@
     retry_after_s: float | None = None
 
     @property
-    def row(self) -> AnswerRow:
+    def answer(self) -> ErrorAnswer:
         """The row of the answer table."""
         return ANSWERS[self.kind]
 
     @property
-    def come_back_s(self) -> float | None:
+    def effective_retry_after_s(self) -> float | None:
         """Seconds after which to come back, or None."""
-        return self.row.retry_after_s if self.retry_after_s is None else self.retry_after_s
+        return self.answer.retry_after_s if self.retry_after_s is None else self.retry_after_s
 
 
 class RefusedError(Exception):
--- a/mothstand/gateway/accounts.py
+++ b/mothstand/gateway/accounts.py
@@ -8,12 +8,12 @@
 
 from ..core.claim_policy import ClaimPolicy
 from ..core.hashing import shard_index
-from ..core.shutdown import STOPPING_COME_BACK_S
+from ..core.shutdown import STOPPING_RETRY_AFTER_S
 from ..errors import ErrorKind, Refusal
 from ..events import Event, emit
 from ..types import Shard
 from .borrowing import Borrower
-from .claim_keeper import ClaimKeeper
+from .claim_manager import ClaimManager
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -23,7 +23,7 @@
     from ..clock import Clock
     from ..core.claims import Reservation, Usage
     from ..core.loans import Peer
-    from ..log.health import LogHealth
+    from ..log.health import PlatformHealth
     from ..settings.gateway import GatewaySettings
     from ..types import BudgetName
     from .lending import Handover, LoanReply, LoanRequest, PeerLink
@@ -40,14 +40,14 @@
 
 #: Time reserved at the end of a stop to hand over to a peer what could not be given back: a few
 #: calls of milliseconds each.
-_HAND_OVER_S = 0.3
+_HANDOVER_RESERVE_S = 0.3
 
 #: Time until the successor of a stopped instance runs. If the claims unlock later than that, the
 #: successor can still prove which part of them was not spent; after the unlock nobody can.
 _RESTART_S = 1.5
 
 #: Time in which tokens move from other instances, or running requests release unused tokens.
-_COME_BACK_S = 0.6
+_RETRY_AFTER_S = 0.6
 
 
 class BudgetShard:
@@ -56,12 +56,12 @@
     def __init__(
         self,
         shard: Shard,
-        me: Peer,
+        local_peer: Peer,
         settings: GatewaySettings,
         store: Store,
         link: PeerLink,
         clock: Clock,
-        health: LogHealth,
+        health: PlatformHealth,
         prepaid: Callable[[], dict[BudgetName, int]],
         members: MemberFeed,
         policy: ClaimPolicy,
@@ -71,25 +71,25 @@
         self._members = members
         self._clock = clock
         self._health = health
-        self._more = anyio.Event()
-        self.keeper = ClaimKeeper(
+        self._change_event = anyio.Event()
+        self.claim_manager = ClaimManager(
             shard,
-            me,
+            local_peer,
             store,
             clock,
             health,
             policy,
             prepaid,
-            self._claimants,
+            self._claimant_count,
             settings.timing.claims_s,
-            self.announce,
+            self.wake_waiting,
             started_s,
         )
         self.borrower = Borrower(
-            self.keeper, link, lambda: members.fleet.lenders(shard), clock, self.announce
+            self.claim_manager, link, lambda: members.fleet.lenders(shard), clock, self.wake_waiting
         )
 
-    def _claimants(self) -> int:
+    def _claimant_count(self) -> int:
         """Return the number of claimants of the shard, 0 unless this instance is one of them."""
         fleet = self._members.fleet
         if not (self._members.is_settled and fleet.is_claimant(self._shard)):
@@ -100,70 +100,77 @@
         self, budget: BudgetName, tokens: int, priority: int, wait_s: float, tasks: TaskGroup
     ) -> Reservation | None:
         """Reserve tokens, waiting up to `wait_s` for a claim or a loan that may provide them."""
-        keeper = self.keeper
-        keeper.demand_on(budget).ask(tokens, priority, self._clock.monotonic_s())
-        reservation = self._try(budget, tokens, priority)
+        manager = self.claim_manager
+        manager.demand_for(budget).add_request(tokens, priority, self._clock.monotonic_s())
+        reservation = self._try_reserve(budget, tokens, priority)
         if reservation is not None:
             return reservation
-        waiting = keeper.waiting_of(budget)
+        waiting = manager.waiting_tokens_by_priority(budget)
         waiting[priority] += tokens
         try:
             with anyio.move_on_after(wait_s):
-                if keeper.is_claimant and keeper.may_help(budget):
-                    reservation = await self._look(budget, tokens, priority)
+                if manager.is_claimant and manager.can_serve_from_store(budget):
+                    reservation = await self._wait_for_poll(budget, tokens, priority)
                 if reservation is None:
-                    reservation = await self._borrow(budget, tokens, priority, tasks)
+                    reservation = await self._wait_for_loans(budget, tokens, priority, tasks)
         finally:
             waiting[priority] -= tokens
         return reservation
 
     async def lend(self, request: LoanRequest) -> LoanReply:
         """Lend tokens to a peer; if the peer does not claim itself, claim missing tokens first."""
-        keeper, budget, tokens = self.keeper, request.budget, request.needed_tokens
-        if keeper.is_claimant and request.borrows_only:
-            keeper.demand_on(budget).ask(tokens, request.priority, self._clock.monotonic_s())
-        elif keeper.is_claimant:
+        manager, budget, tokens = self.claim_manager, request.budget, request.needed_tokens
+        if manager.is_claimant and request.borrows_only:
+            manager.demand_for(budget).add_request(
+                tokens, request.priority, self._clock.monotonic_s()
+            )
+        elif manager.is_claimant:
             # A borrower that claims has found nothing free in the store, so only tokens held by
             # this instance can be lent.
-            tokens = min(tokens, keeper.book.of(budget).held_tokens)
-        if keeper.is_claimant and not self._has(budget, tokens, request.priority):
-            await self._claim_for(budget, tokens, request.priority)
+            tokens = min(tokens, manager.claims.held_budget(budget).held_tokens)
+        if manager.is_claimant and not self._has_available(budget, tokens, request.priority):
+            await self._claim_for_borrower(budget, tokens, request.priority)
         return self.borrower.lend(request)
 
-    async def _claim_for(self, budget: BudgetName, tokens: int, priority: int) -> None:
+    async def _claim_for_borrower(self, budget: BudgetName, tokens: int, priority: int) -> None:
         """Wait for a poll of the store on behalf of a borrower.
 
         Otherwise a lender that reaches the store lends at most its base, and near a budget's end
         requests are refused although other instances hold tokens beyond their bases.
         """
-        if not self.keeper.may_help(budget):
+        if not self.claim_manager.can_serve_from_store(budget):
             return
-        waiting = self.keeper.waiting_of(budget)
+        waiting = self.claim_manager.waiting_tokens_by_priority(budget)
         waiting[priority] += tokens
         try:
             with anyio.move_on_after(_CLAIM_FOR_BORROWER_S):
-                is_over = self._look_is_over()
-                while not self._has(budget, tokens, priority) and not is_over():
-                    await self._more.wait()
+                is_over = self._request_poll()
+                while not self._has_available(budget, tokens, priority) and not is_over():
+                    await self._change_event.wait()
         finally:
             waiting[priority] -= tokens
 
-    def _has(self, budget: BudgetName, tokens: int, priority: int) -> bool:
-        self.keeper.update_opening()
-        kept = self.keeper.kept_tokens(budget, priority)
-        return self.keeper.book.of(budget).available_tokens - kept >= tokens
+    def _has_available(self, budget: BudgetName, tokens: int, priority: int) -> bool:
+        self.claim_manager.update_opening()
+        withheld_tokens = self.claim_manager.withheld_tokens(budget, priority)
+        return (
+            self.claim_manager.claims.held_budget(budget).available_tokens - withheld_tokens
+            >= tokens
+        )
 
-    def _look_is_over(self) -> Callable[[], bool]:
+    def _request_poll(self) -> Callable[[], bool]:
         """Request a new poll of the store; return a function that tests whether it is over."""
         began_s = self._clock.monotonic_s()
-        self.keeper.wake()
-        return lambda: self.keeper.looked_s >= began_s or self._health.is_failing
+        self.claim_manager.wake()
+        return lambda: self.claim_manager.polled_s >= began_s or self._health.is_failing
 
-    async def _look(self, budget: BudgetName, tokens: int, priority: int) -> Reservation | None:
+    async def _wait_for_poll(
+        self, budget: BudgetName, tokens: int, priority: int
+    ) -> Reservation | None:
         """Wait for a poll of the store that begins after this call."""
-        return await self._wait(budget, tokens, priority, self._look_is_over())
+        return await self._wait_for_tokens(budget, tokens, priority, self._request_poll())
 
-    async def _borrow(
+    async def _wait_for_loans(
         self, budget: BudgetName, tokens: int, priority: int, tasks: TaskGroup
     ) -> Reservation | None:
         """Wait for a round of loans that begins after this call.
@@ -172,28 +179,30 @@
         """
 
         def is_over() -> bool:
-            return not self.borrower.is_running(budget, priority)
+            return not self.borrower.is_round_running(budget, priority)
 
         if not is_over():
-            reservation = await self._wait(budget, tokens, priority, is_over)
+            reservation = await self._wait_for_tokens(budget, tokens, priority, is_over)
             if reservation is not None:
                 return reservation
-        self.borrower.begin(budget, priority, tasks)
-        return await self._wait(budget, tokens, priority, is_over)
+        self.borrower.begin_round(budget, priority, tasks)
+        return await self._wait_for_tokens(budget, tokens, priority, is_over)
 
-    async def _wait(
+    async def _wait_for_tokens(
         self, budget: BudgetName, tokens: int, priority: int, is_over: Callable[[], bool]
     ) -> Reservation | None:
         while True:
-            reservation = self._try(budget, tokens, priority)
+            reservation = self._try_reserve(budget, tokens, priority)
             if reservation is not None or is_over():
                 return reservation
-            await self._more.wait()
+            await self._change_event.wait()
 
-    def _try(self, budget: BudgetName, tokens: int, priority: int) -> Reservation | None:
-        self.keeper.update_opening()
-        kept = self.keeper.kept_tokens(budget, priority)
-        return self.keeper.book.of(budget).reserve(tokens, kept_tokens=kept)
+    def _try_reserve(self, budget: BudgetName, tokens: int, priority: int) -> Reservation | None:
+        self.claim_manager.update_opening()
+        withheld_tokens = self.claim_manager.withheld_tokens(budget, priority)
+        return self.claim_manager.claims.held_budget(budget).reserve(
+            tokens, withheld_tokens=withheld_tokens
+        )
 
     def is_exhausted(self, budget: BudgetName, tokens: int) -> bool:
         """Return whether a request cannot fit into the budget without a top-up.
@@ -202,22 +211,22 @@
         by other instances may be returned, and uncertain tokens may not have been consumed:
         neither makes a budget exhausted.
         """
-        keeper = self.keeper
+        manager = self.claim_manager
         spent = self.borrower.spent_tokens(budget)
-        if keeper.is_listed:
-            spent = max(spent, keeper.spent_tokens(budget))
-        return tokens > keeper.prepaid().get(budget, 0) - spent
+        if manager.is_listed:
+            spent = max(spent, manager.spent_tokens(budget))
+        return tokens > manager.prepaid().get(budget, 0) - spent
 
-    def come_back_s(self) -> float:
+    def retry_after_s(self) -> float:
         """Return the seconds after which a request that got no tokens should be retried."""
         if self._health.is_failing:
-            return max(_COME_BACK_S, self.keeper.unlocks_in_s())
-        return _COME_BACK_S
+            return max(_RETRY_AFTER_S, self.claim_manager.unlocks_in_s())
+        return _RETRY_AFTER_S
 
-    def announce(self) -> None:
+    def wake_waiting(self) -> None:
         """Wake the requests that wait for tokens."""
-        more, self._more = self._more, anyio.Event()
-        more.set()
+        event, self._change_event = self._change_event, anyio.Event()
+        event.set()
 
 
 class Accounts:
@@ -226,11 +235,11 @@
     def __init__(
         self,
         settings: GatewaySettings,
-        me: Peer,
+        local_peer: Peer,
         store: Store,
         link: PeerLink,
         clock: Clock,
-        health: LogHealth,
+        health: PlatformHealth,
         prepaid: Callable[[], dict[BudgetName, int]],
         members: MemberFeed,
         policy: ClaimPolicy | None = None,
@@ -244,13 +253,13 @@
         self.shards = [
             BudgetShard(
                 Shard(number),
-                me,
+                local_peer,
                 settings,
                 store,
                 link,
                 clock,
                 health,
-                lambda number=number: self._prepaid_of(number),  # type: ignore[misc]
+                lambda number=number: self._prepaid_of_shard(number),  # type: ignore[misc]
                 members,
                 policy or ClaimPolicy(),
                 started_s,
@@ -264,21 +273,21 @@
             async with anyio.create_task_group() as tasks:
                 self._tasks = tasks
                 for shard in self.shards:
-                    tasks.start_soon(shard.keeper.run)
+                    tasks.start_soon(shard.claim_manager.run)
                 while True:
                     await self._clock.sleep(self._settings.timing.claims_s)
                     for shard in self.shards:
-                        await shard.borrower.ask_again()
-                        await shard.borrower.give_back_rests()
+                        await shard.borrower.retry_unconfirmed()
+                        await shard.borrower.give_back_unused()
         finally:
             self._tasks = None
 
-    def begin_leaving(self) -> None:
+    def begin_stopping(self) -> None:
         """Start to give back tokens that running requests don't need; no more are accepted."""
         for shard in self.shards:
-            shard.keeper.begin_leaving()
+            shard.claim_manager.begin_stopping()
 
-    async def leave(self, *, until_s: float) -> None:
+    async def stop(self, *, until_s: float) -> None:
         """Give back unused tokens at a stop; hand over to a peer what cannot be given back.
 
         Parameters
@@ -287,20 +296,20 @@
             Deadline on the monotonic clock.
         """
         began_s = self._clock.monotonic_s()
-        with anyio.move_on_after(until_s - _HAND_OVER_S - began_s) as giving_back:
+        with anyio.move_on_after(until_s - _HANDOVER_RESERVE_S - began_s) as giving_back:
             for shard in self.shards:
-                await shard.keeper.give_back()
+                await shard.claim_manager.give_back()
         if giving_back.cancelled_caught:
             took_s = round(self._clock.monotonic_s() - began_s, 3)
             emit(Event.CLAIMS_STRANDED, error=f"the store took more than {took_s} s")
-        await self._wait_for_unlock(until_s - _HAND_OVER_S)
-        with anyio.move_on_after(_HAND_OVER_S):
+        await self._wait_for_unlock(until_s - _HANDOVER_RESERVE_S)
+        with anyio.move_on_after(_HANDOVER_RESERVE_S):
             for shard in self.shards:
                 await shard.borrower.hand_over()
 
     async def _wait_for_unlock(self, until_s: float) -> None:
         """Wait for claims that unlock soon: before, tokens past a window can't be handed over."""
-        unlocks_in_s = max(shard.keeper.unlocks_in_s() for shard in self.shards)
+        unlocks_in_s = max(shard.claim_manager.unlocks_in_s() for shard in self.shards)
         ends_s = self._clock.monotonic_s() + unlocks_in_s
         if self._health.is_failing and unlocks_in_s <= _RESTART_S and ends_s <= until_s:
             await self._clock.sleep(unlocks_in_s)
@@ -311,7 +320,11 @@
 
     def unused_tokens(self) -> dict[BudgetName, int]:
         """Return the claimed and unused tokens of each budget that has some."""
-        held = (held for shard in self.shards for held in shard.keeper.book.held.values())
+        held = (
+            held
+            for shard in self.shards
+            for held in shard.claim_manager.claims.held_budgets.values()
+        )
         return {one.budget: one.held_tokens for one in held if one.held_tokens > 0}
 
     def shard_of(self, budget: BudgetName) -> BudgetShard:
@@ -327,33 +340,33 @@
         if self._tasks is None:
             # During a stop, requests on persistent connections may arrive after the claim tasks
             # have ended.
-            return Refusal(ErrorKind.STOPPING, retry_after_s=STOPPING_COME_BACK_S)
+            return Refusal(ErrorKind.STOPPING, retry_after_s=STOPPING_RETRY_AFTER_S)
         reservation = await shard.reserve(budget, tokens, priority, wait_s, self._tasks)
         if reservation is not None:
             return reservation
         if shard.is_exhausted(budget, tokens):
             return Refusal(ErrorKind.BUDGET_EXHAUSTED, f"{budget}: {tokens} tokens do not fit")
-        held = shard.keeper.book.of(budget)
+        held = shard.claim_manager.claims.held_budget(budget)
         detail = f"{budget}: {tokens} tokens, {held.available_tokens} held here"
-        come_back_s = shard.come_back_s()
-        return Refusal(ErrorKind.BUDGET_OUT_OF_REACH, detail, retry_after_s=come_back_s)
+        retry_after_s = shard.retry_after_s()
+        return Refusal(ErrorKind.BUDGET_OUT_OF_REACH, detail, retry_after_s=retry_after_s)
 
     def settle(self, reservation: Reservation, usage: Usage) -> None:
         """End a reservation with the tokens that its request consumed."""
         shard = self.shard_of(reservation.budget)
-        shard.keeper.settle(reservation, usage)
-        shard.announce()
+        shard.claim_manager.settle(reservation, usage)
+        shard.wake_waiting()
 
     async def lend(self, request: LoanRequest) -> LoanReply:
         """Lend tokens to a peer."""
         return await self.shard_of(request.budget).lend(request)
 
-    def look(self) -> None:
+    def poll(self) -> None:
         """Request a poll of all claims: a top-up, a new budget or another role may be in force."""
         for shard in self.shards:
-            shard.keeper.wake()
+            shard.claim_manager.wake()
 
-    def _prepaid_of(self, number: int) -> dict[BudgetName, int]:
+    def _prepaid_of_shard(self, number: int) -> dict[BudgetName, int]:
         if len(self.shards) == 1:
             return self._prepaid()
         shard = self.shards[number]
--- a/mothstand/gateway/bootstrap.py
+++ b/mothstand/gateway/bootstrap.py
@@ -18,10 +18,10 @@
     from .upstream_feed import UpstreamFeed
 
 #: Seconds to wait for the first configuration from the store before peers are asked.
-_STORE_FIRST_S = 0.8
+_ASK_PEERS_AFTER_S = 0.8
 
 #: Seconds between two rounds of requests to all known addresses.
-_ROUND_S = 0.5
+_ROUND_INTERVAL_S = 0.5
 
 
 class Bootstrap:
@@ -55,27 +55,27 @@
 
     async def run(self) -> None:
         """Ask peers until there is a configuration."""
-        await self._clock.sleep(_STORE_FIRST_S)
+        await self._clock.sleep(_ASK_PEERS_AFTER_S)
         while self._config.config is None:
             for address in tuple(self._addresses):
                 if self._config.config is None:
-                    await self._ask(address)
-            await self._clock.sleep(_ROUND_S)
+                    await self._ask_peer(address)
+            await self._clock.sleep(_ROUND_INTERVAL_S)
 
-    async def _ask(self, address: str) -> None:
+    async def _ask_peer(self, address: str) -> None:
         try:
-            known = await self._link.knowledge(address)
+            state = await self._link.bootstrap_state(address)
         except PeerError as error:
             emit(Event.PEER_SUSPECTED, peer=address, error=str(error))
             return
-        for record in known.members:
+        for record in state.members:
             peer_address = decode_member(record).member.peer.address
             if peer_address not in (*self._addresses, self._own_address):
                 self._addresses.append(peer_address)
-        if not known.config:
+        if not state.config:
             return
-        emit(Event.KNOWLEDGE_TAKEN, peer=address, upstreams=len(known.upstreams))
-        self._members.offer(known.members)
-        self._upstreams.offer(known.upstreams)
-        self._quarantine.offer(known.ends)
-        self._config.offer(KeyedRecord("", known.config))
+        emit(Event.KNOWLEDGE_TAKEN, peer=address, upstreams=len(state.upstreams))
+        self._members.apply_second_hand(state.members)
+        self._upstreams.apply_second_hand(state.upstreams)
+        self._quarantine.apply_second_hand(state.quarantine_records)
+        self._config.apply_second_hand(KeyedRecord("", state.config))
--- a/mothstand/gateway/call.py
+++ b/mothstand/gateway/call.py
@@ -6,12 +6,12 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from ..core.claims import UNUSED, Usage
+from ..core.claims import NO_USAGE, Usage
 from ..core.event_stream import StreamProgress
 from ..core.request_digest import RequestDigest, request_digest
 
 if TYPE_CHECKING:
-    from ..core.quarantine import Trial
+    from ..core.quarantine import Probe
     from ..core.routes import Route
     from .headers import CallerFields, RawHeaders
     from .upstream_client import OutgoingRequest
@@ -24,7 +24,7 @@
 class CallerConnection(ABC):
     """Where an answer goes; each call raises `CallerGoneError` once nobody is there."""
 
-    started = False
+    is_started = False
 
     @abstractmethod
     async def start(self, status: int, reason: str, headers: RawHeaders) -> None:
@@ -43,7 +43,9 @@
         """End a streamed answer so that it does not look complete."""
 
     @abstractmethod
-    async def send_whole(self, status: int, reason: str, headers: RawHeaders, body: bytes) -> None:
+    async def send_complete(
+        self, status: int, reason: str, headers: RawHeaders, body: bytes
+    ) -> None:
         """Send an answer in one piece."""
 
 
@@ -86,21 +88,21 @@
     request: OutgoingRequest
     arrived_s: float
     deadline_s: float
-    sent: int = 0
+    sent_attempts: int = 0
     refusals: int = 0
     has_retry: bool = False
-    tried: set[str] = field(default_factory=set)
+    tried_upstreams: set[str] = field(default_factory=set)
     progress: StreamProgress = field(default_factory=StreamProgress)
-    failed_answer: WholeAnswer | None = None
+    failed_answer: CompleteAnswer | None = None
     reserved_after_s: float = 0.0
     started_after_s: float = 0.0
     attempt_began_s: float = 0.0
     upstream_id: str = ""
     registrations_age_s: float | None = None
-    known_ends: int = 0
-    is_broken: bool = False
-    is_full: bool = False
-    trial: Trial | None = None
+    known_crashes: int = 0
+    is_connection_broken: bool = False
+    is_upstream_full: bool = False
+    probe: Probe | None = None
     _digest: RequestDigest | None = None
 
     @property
@@ -117,9 +119,11 @@
         return self._digest
 
     @property
-    def attempts_told(self) -> str:
+    def reported_attempts(self) -> str:
         """What became of its attempts, for its refusal's log line."""
-        tried = f"{len(self.tried)} tried, {self.sent} sent, {self.refusals} refused"
+        tried = (
+            f"{len(self.tried_upstreams)} tried, {self.sent_attempts} sent, {self.refusals} refused"
+        )
         return f"{self.service}: {tried}"
 
     def usage(self, event_tokens: int, *, is_answered: bool) -> Usage:
@@ -131,14 +135,14 @@
             Whether anything of an upstream's answer was passed on: only then it surely ran. A run
             may begin, and its answer be lost, so what was sent and gave nothing stays in doubt.
         """
-        if not self.sent:
-            return UNUSED
-        tokens = self.fields.prompt.input_tokens + self.progress.events * event_tokens
+        if not self.sent_attempts:
+            return NO_USAGE
+        tokens = self.fields.prompt.input_tokens + self.progress.sent_events * event_tokens
         return Usage(tokens, tokens if is_answered else 0)
 
 
 @dataclass(frozen=True, slots=True)
-class WholeAnswer:
+class CompleteAnswer:
     """An upstream's answer that was read to its end."""
 
     status: int
--- a/mothstand/gateway/caller_connections.py
+++ b/mothstand/gateway/caller_connections.py
@@ -43,9 +43,9 @@
         # The library waits for a head, and so has no request: between two of its steps a request
         # that is being handed over stands nowhere else, and its body would pass for a head.
         was_idle = self._waiter is not None and not self._waiter.done()
-        heads = self._request_count
+        prior_requests = self._request_count
         super().data_received(data)
-        if self._request_count > heads:
+        if self._request_count > prior_requests:
             self._stop_timer()
         elif was_idle and self._head_timer is None:
             loop = asyncio.get_running_loop()
@@ -85,17 +85,17 @@
         handler: Callable[[web.BaseRequest], Awaitable[web.StreamResponse]],
         limits: Callable[[], RequestLimits | None],
         *,
-        first_idle_timeout_s: float,
+        initial_idle_timeout_s: float,
         **options: Any,
     ) -> None:
         super().__init__(handler, **options)
         self._limits = limits
-        self._first_idle_timeout_s = first_idle_timeout_s
+        self._initial_idle_timeout_s = initial_idle_timeout_s
 
     def __call__(self) -> CallerHandler:
         """Return the handler of a new connection."""
         limits = self._limits()
-        idle_s = self._first_idle_timeout_s if limits is None else limits.idle_timeout_s
+        idle_s = self._initial_idle_timeout_s if limits is None else limits.idle_timeout_s
         head_s = idle_s if limits is None else limits.header_timeout_s
         return CallerHandler(
             self,
--- a/mothstand/gateway/end_watch.py
+++ b/mothstand/gateway/crash_detector.py
@@ -23,18 +23,18 @@
 
 #: For so long after a request broke off, an end of its upstream counts as an end under it. A
 #: registration lapses three heartbeats after the last one, and is read a second later.
-_PROOF_WITHIN_S = 10.0
+_PROOF_WINDOW_S = 10.0
 
 #: Connections that are tried while none is taken or refused, and the pause between two of them.
-_MOST_CHECKS = 3
+_MAX_CHECKS = 3
 _CHECK_PAUSE_S = 0.1
 
 
 class Liveness(Enum):
     """What a new connection tells of the process at an address."""
 
-    ENDED = "nothing listens"
-    LIVES = "a process listens"
+    NOT_LISTENING = "nothing listens"
+    LISTENING = "a process listens"
     UNKNOWN = "no answer"
 
 
@@ -59,7 +59,7 @@
             with anyio.fail_after(self._timeout_s):
                 _, writer = await asyncio.open_connection(target.host, target.port)
         except ConnectionRefusedError:
-            return Liveness.ENDED
+            return Liveness.NOT_LISTENING
         except (TimeoutError, OSError):
             # Dark or cut off; whoever asks goes by the registration then.
             return Liveness.UNKNOWN
@@ -67,7 +67,7 @@
         # A reset now tells nothing more: the connection was taken.
         with suppress(OSError):
             await writer.wait_closed()
-        return Liveness.LIVES
+        return Liveness.LISTENING
 
 
 @dataclass(frozen=True, slots=True)
@@ -82,11 +82,11 @@
 
     request_id: str
     digest: RequestDigest
-    known_ends: int = 0
+    known_crashes: int = 0
 
 
 @dataclass(slots=True)
-class _Suspect:
+class _SuspectedUpstream:
     """An upstream where requests broke off.
 
     Parameters
@@ -98,13 +98,13 @@
     """
 
     upstream: RegisteredUpstream
-    broke_s: float
+    last_break_s: float
     attempts: dict[BrokenAttempt, float] = field(default_factory=dict)
-    has_ended: bool = False
-    is_checked: bool = False
+    has_crashed: bool = False
+    is_check_pending: bool = False
 
 
-class EndWatch:
+class CrashDetector:
     """Tells under which requests an upstream has ended.
 
     A connection also breaks where the upstream lives on: by a reset, a cut link, or a fault that
@@ -121,69 +121,69 @@
         self,
         check: LivenessCheck,
         clock: Clock,
-        ended: Callable[[RegisteredUpstream, BrokenAttempt], None],
+        on_crash: Callable[[RegisteredUpstream, BrokenAttempt], None],
     ) -> None:
         self._check = check
         self._clock = clock
-        self._ended = ended
-        self._suspects: dict[UpstreamKey, _Suspect] = {}
-        self._unchecked: list[_Suspect] = []
-        self._broke = anyio.Event()
+        self._on_crash = on_crash
+        self._suspects: dict[UpstreamKey, _SuspectedUpstream] = {}
+        self._unchecked: list[_SuspectedUpstream] = []
+        self._has_unchecked = anyio.Event()
 
-    def broke(self, upstream: RegisteredUpstream, attempt: BrokenAttempt) -> None:
+    def note_broken_attempt(self, upstream: RegisteredUpstream, attempt: BrokenAttempt) -> None:
         """Note that a request's connection broke."""
         now_s = self._clock.monotonic_s()
-        self._forget(now_s)
-        suspect = self._suspects.setdefault(upstream.key, _Suspect(upstream, now_s))
-        suspect.broke_s = now_s
-        if suspect.has_ended:
-            self._ended(upstream, attempt)
+        self._forget_expired(now_s)
+        suspect = self._suspects.setdefault(upstream.key, _SuspectedUpstream(upstream, now_s))
+        suspect.last_break_s = now_s
+        if suspect.has_crashed:
+            self._on_crash(upstream, attempt)
             return
         suspect.attempts[attempt] = now_s
-        if not suspect.is_checked:
-            suspect.is_checked = True
+        if not suspect.is_check_pending:
+            suspect.is_check_pending = True
             self._unchecked.append(suspect)
-            self._broke.set()
+            self._has_unchecked.set()
 
-    def gone(self, upstream: RegisteredUpstream) -> None:
+    def note_deregistered(self, upstream: RegisteredUpstream) -> None:
         """Note that an upstream has ended by its registration, or started again."""
         suspect = self._suspects.get(upstream.key)
-        if suspect is not None and not upstream.draining:
-            self._tell_end(suspect, "registration")
+        if suspect is not None and not upstream.is_draining:
+            self._report_crash(suspect, "registration")
 
     async def run(self) -> None:
         """Check upstreams where requests broke off, until cancelled."""
         async with anyio.create_task_group() as tasks:
             while True:
-                await self._broke.wait()
-                self._broke = anyio.Event()
+                await self._has_unchecked.wait()
+                self._has_unchecked = anyio.Event()
                 unchecked, self._unchecked = self._unchecked, []
                 for suspect in unchecked:
-                    tasks.start_soon(self._look, suspect)
+                    tasks.start_soon(self._check_suspect, suspect)
 
-    async def _look(self, suspect: _Suspect) -> None:
+    async def _check_suspect(self, suspect: _SuspectedUpstream) -> None:
         try:
-            await self._check_until_told(suspect)
+            await self._check_until_known(suspect)
         finally:
             # The next request that breaks there is a reason to look again.
-            suspect.is_checked = False
+            suspect.is_check_pending = False
 
-    async def _check_until_told(self, suspect: _Suspect) -> None:
-        for _ in range(_MOST_CHECKS):
+    async def _check_until_known(self, suspect: _SuspectedUpstream) -> None:
+        for _ in range(_MAX_CHECKS):
             liveness = await self._check.check(suspect.upstream.address)
-            if liveness is Liveness.ENDED:
-                self._tell_end(suspect, "refused connection")
+            if liveness is Liveness.NOT_LISTENING:
+                self._report_crash(suspect, "refused connection")
             if liveness is not Liveness.UNKNOWN:
                 return
             await self._clock.sleep(_CHECK_PAUSE_S)
 
-    def _tell_end(self, suspect: _Suspect, proof: str) -> None:
+    def _report_crash(self, suspect: _SuspectedUpstream, proof: str) -> None:
         now_s = self._clock.monotonic_s()
-        if suspect.has_ended or now_s - suspect.broke_s > _PROOF_WITHIN_S:
+        if suspect.has_crashed or now_s - suspect.last_break_s > _PROOF_WINDOW_S:
             return
-        suspect.has_ended = True
-        broken, suspect.attempts = suspect.attempts, {}
-        attempts = [a for a, broke_s in broken.items() if now_s - broke_s <= _PROOF_WITHIN_S]
+        suspect.has_crashed = True
+        break_times, suspect.attempts = suspect.attempts, {}
+        attempts = [a for a, broke_s in break_times.items() if now_s - broke_s <= _PROOF_WINDOW_S]
         emit(
             Event.UPSTREAM_ENDED,
             upstream=suspect.upstream.upstream_id,
@@ -192,10 +192,10 @@
             requests={attempt.request_id: attempt.digest for attempt in attempts},
         )
         for attempt in attempts:
-            self._ended(suspect.upstream, attempt)
+            self._on_crash(suspect.upstream, attempt)
 
-    def _forget(self, now_s: float) -> None:
+    def _forget_expired(self, now_s: float) -> None:
         """Drop upstreams of which nothing more is expected."""
         for key, suspect in list(self._suspects.items()):
-            if now_s - suspect.broke_s > _PROOF_WITHIN_S:
+            if now_s - suspect.last_break_s > _PROOF_WINDOW_S:
                 del self._suspects[key]
--- a/mothstand/gateway/crash_guard.py
+++ b/mothstand/gateway/crash_guard.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from ..errors import ErrorKind, Refusal, RefusedError
-from .end_watch import BrokenAttempt
+from .crash_detector import BrokenAttempt
 from .upstream_client import ConnectionBrokenError, MisdirectedError, RefusedByUpstreamError
 
 if TYPE_CHECKING:
@@ -15,7 +15,7 @@
     from ..clock import Clock
     from ..core.upstreams import RegisteredUpstream
     from .call import Call
-    from .end_watch import EndWatch
+    from .crash_detector import CrashDetector
     from .quarantine_feed import QuarantineFeed
     from .upstream_client import UpstreamAnswer
 
@@ -26,13 +26,13 @@
 class CrashGuard:
     """What the forwarding of a request asks and tells of upstreams that end under it."""
 
-    def __init__(self, feed: QuarantineFeed, ends: EndWatch, clock: Clock) -> None:
+    def __init__(self, feed: QuarantineFeed, crash_detector: CrashDetector, clock: Clock) -> None:
         self._feed = feed
-        self._ends = ends
+        self._crash_detector = crash_detector
         self._clock = clock
 
     @asynccontextmanager
-    async def admitted(self, call: Call) -> AsyncIterator[None]:
+    async def admit(self, call: Call) -> AsyncIterator[None]:
         """Let a request through unless it is quarantined; it may be a trial then.
 
         Raises
@@ -40,51 +40,53 @@
         RefusedError
             It has not run.
         """
-        if self.holds(call):
-            call.trial = await self._feed.claim_trial(call.digest)
-            if call.trial is None:
+        if self.is_quarantined(call):
+            call.probe = await self._feed.claim_probe(call.digest)
+            if call.probe is None:
                 raise RefusedError(self.refusal(call))
         try:
             yield
         finally:
-            if call.trial is not None and not (
-                self._is_trial_made(call) and self._known_ends(call)
+            if call.probe is not None and not (
+                self._has_probe_reached_upstream(call) and self._known_crashes(call)
             ):
                 # It has reached no upstream, so another instance may make it; or it was answered.
-                self._feed.return_trial(call.trial)
+                self._feed.return_probe(call.probe)
 
-    def holds(self, call: Call) -> bool:
+    def is_quarantined(self, call: Call) -> bool:
         """Return whether a request must not be sent to an upstream."""
         quarantine = self._feed.quarantine
-        if quarantine.is_empty or call.trial is not None:
+        if quarantine.is_empty or call.probe is not None:
             return False
-        return quarantine.is_held(call.digest, self._clock.monotonic_s())
+        return quarantine.is_quarantined(call.digest, self._clock.monotonic_s())
 
     def refusal(self, call: Call) -> Refusal:
         """Return the answer to a request that is held."""
         quarantine = self._feed.quarantine
         return Refusal(
             ErrorKind.QUARANTINED,
-            f"{call.digest}: {len(quarantine.ends(call.digest))} upstreams ended",
-            retry_after_s=quarantine.come_back_s(call.digest, self._clock.monotonic_s()),
+            f"{call.digest}: {len(quarantine.crashes(call.digest))} upstreams ended",
+            retry_after_s=quarantine.retry_after_s(call.digest, self._clock.monotonic_s()),
         )
 
-    def began(self, call: Call) -> None:
+    def note_attempt_began(self, call: Call) -> None:
         """Note that an attempt begins."""
-        call.is_broken = False
-        call.is_full = False
-        call.known_ends = self._known_ends(call)
+        call.is_connection_broken = False
+        call.is_upstream_full = False
+        call.known_crashes = self._known_crashes(call)
 
-    def failed(self, call: Call, upstream: RegisteredUpstream, error: Exception) -> None:
+    def note_attempt_failed(
+        self, call: Call, upstream: RegisteredUpstream, error: Exception
+    ) -> None:
         """Note how an attempt failed."""
         if isinstance(error, ConnectionBrokenError):
-            call.is_broken = True
-            attempt = BrokenAttempt(call.fields.request_id, call.digest, call.known_ends)
-            self._ends.broke(upstream, attempt)
+            call.is_connection_broken = True
+            attempt = BrokenAttempt(call.fields.request_id, call.digest, call.known_crashes)
+            self._crash_detector.note_broken_attempt(upstream, attempt)
         elif isinstance(error, MisdirectedError):
-            self._ends.gone(upstream)
+            self._crash_detector.note_deregistered(upstream)
         elif isinstance(error, RefusedByUpstreamError):
-            call.is_full = True
+            call.is_upstream_full = True
 
     def allows_retry(self, call: Call) -> bool:
         """Return whether a request may be sent to another upstream after a failed attempt.
@@ -92,22 +94,22 @@
         Not if its connection broke as others have broken before it was sent: a caller's single
         attempt would end two more upstreams. And not if it is a trial that reached one.
         """
-        if call.trial is not None:
-            return not self._is_trial_made(call)
-        return not (call.is_broken and call.known_ends)
+        if call.probe is not None:
+            return not self._has_probe_reached_upstream(call)
+        return not (call.is_connection_broken and call.known_crashes)
 
-    def answered(self, call: Call, answer: UpstreamAnswer) -> None:
+    def note_answered(self, call: Call, answer: UpstreamAnswer) -> None:
         """Note a whole answer: a request that ends all upstreams never has one.
 
         An answer that ends with its connection may look whole when its upstream ended.
         """
         is_success = _OK <= answer.status < _REDIRECT
-        if is_success and not answer.ends_with_connection and self._known_ends(call):
+        if is_success and not answer.ends_with_connection and self._known_crashes(call):
             self._feed.clear(call.digest)
 
-    def _is_trial_made(self, call: Call) -> bool:
-        return bool(call.sent) or call.is_full
+    def _has_probe_reached_upstream(self, call: Call) -> bool:
+        return bool(call.sent_attempts) or call.is_upstream_full
 
-    def _known_ends(self, call: Call) -> int:
+    def _known_crashes(self, call: Call) -> int:
         quarantine = self._feed.quarantine
-        return 0 if quarantine.is_empty else len(quarantine.ends(call.digest))
+        return 0 if quarantine.is_empty else len(quarantine.crashes(call.digest))
--- a/mothstand/gateway/feeds.py
+++ b/mothstand/gateway/feeds.py
@@ -14,7 +14,7 @@
 
     from ..clock import Clock
     from ..core.routes import GatewayConfig
-    from ..log.health import LogHealth
+    from ..log.health import PlatformHealth
 
 #: Maximum wait of a read for a new configuration. The store answers at once when there is one; a
 #: shorter wait would only detect an unresponsive connection sooner.
@@ -24,7 +24,7 @@
 BEHIND_AFTER_S = 2.0
 
 _BACKOFF_FIRST_S = 0.1
-_BACKOFF_MOST_S = 0.5
+_BACKOFF_MAX_S = 0.5
 
 
 class KeyedFeed(ABC):
@@ -38,12 +38,12 @@
     """
 
     #: Whether a failed read is followed by a listing instead of reading the missed records.
-    lists_after_failure = False
+    relist_after_failure = False
 
     #: Maximum pause after a failed read, before jitter.
-    backoff_most_s = _BACKOFF_MOST_S
+    backoff_max_s = _BACKOFF_MAX_S
 
-    def __init__(self, store: Store, stream: Stream, clock: Clock, health: LogHealth) -> None:
+    def __init__(self, store: Store, stream: Stream, clock: Clock, health: PlatformHealth) -> None:
         self._store = store
         self._stream = stream
         self._clock = clock
@@ -51,54 +51,54 @@
         self.is_listed = False
         self._next_offset: int | None = None
         self._failing_since_s: float | None = None
-        self._told_behind = False
+        self._is_behind_logged = False
 
     async def run(self) -> None:
         """Follow the stream until cancelled."""
-        backoff = Backoff(_BACKOFF_FIRST_S, self.backoff_most_s)
+        backoff = Backoff(_BACKOFF_FIRST_S, self.backoff_max_s)
         while True:
             try:
-                await self.look()
+                await self.poll()
                 backoff.reset()
-                self._caught_up()
+                self._note_caught_up()
                 await self._clock.sleep(self.pause_s)
             except StoreTrimmedError:
                 self._next_offset = None
             except StoreError as error:
-                self._health.failed(error)
-                self._failed(error)
-                if self.lists_after_failure:
+                self._health.note_failure(error)
+                self._note_failure(error)
+                if self.relist_after_failure:
                     self._next_offset = None
-                await self._clock.sleep(backoff.jittered_s())
+                await self._clock.sleep(backoff.next_jittered_s())
 
-    def _failed(self, error: StoreError) -> None:
+    def _note_failure(self, error: StoreError) -> None:
         """Log once that this stream is behind, also while other streams can be read."""
         now_s = self._clock.monotonic_s()
         if self._failing_since_s is None:
             self._failing_since_s = now_s
-        if now_s - self._failing_since_s >= BEHIND_AFTER_S and not self._told_behind:
-            self._told_behind = True
+        if now_s - self._failing_since_s >= BEHIND_AFTER_S and not self._is_behind_logged:
+            self._is_behind_logged = True
             emit(Event.STREAM_BEHIND, stream=self._stream.topic, error=str(error))
 
-    def _caught_up(self) -> None:
-        if self._told_behind and self._failing_since_s is not None:
+    def _note_caught_up(self) -> None:
+        if self._is_behind_logged and self._failing_since_s is not None:
             behind_s = round(self._clock.monotonic_s() - self._failing_since_s, 3)
             emit(Event.STREAM_CAUGHT_UP, stream=self._stream.topic, behind_s=behind_s)
         self._failing_since_s = None
-        self._told_behind = False
+        self._is_behind_logged = False
 
-    async def look(self) -> None:
+    async def poll(self) -> None:
         """Read once."""
         if self._next_offset is None:
             page = await self._store.newest(self._stream)
-            self._health.answered()
-            await self.answered()
-            self.list(page.records)
+            self._health.note_success()
+            await self.note_read()
+            self.apply_listing(page.records)
             self.is_listed = True
         else:
             page = await self._read(self._next_offset)
-            self._health.answered()
-            await self.answered()
+            self._health.note_success()
+            await self.note_read()
             self.apply(page.records)
         self._next_offset = page.next_offset
 
@@ -107,7 +107,7 @@
         wait_s = 0.0 if self._health.is_failing else self.wait_s
         return await self._store.read(self._stream, from_offset, wait_s=wait_s)
 
-    async def answered(self) -> None:  # noqa: B027 - most feeds have nothing to note
+    async def note_read(self) -> None:  # noqa: B027 - most feeds have nothing to note
         """Note that the store answered; called before the records are applied."""
 
     @property
@@ -121,7 +121,7 @@
         """Seconds for which the store holds a read until there is a record."""
 
     @abstractmethod
-    def list(self, records: tuple[KeyedRecord, ...]) -> None:
+    def apply_listing(self, records: tuple[KeyedRecord, ...]) -> None:
         """Apply the newest record of each key."""
 
     @abstractmethod
@@ -145,7 +145,7 @@
     accumulate in an outage, take 3 s on a link of 5 Mbit/s; one takes 0.1 s.
     """
 
-    lists_after_failure = True
+    relist_after_failure = True
 
     def __init__(
         self,
@@ -153,16 +153,16 @@
         stream: Stream,
         key: str,
         clock: Clock,
-        health: LogHealth,
+        health: PlatformHealth,
         decode: Callable[[bytes], GatewayConfig],
-        in_force: Callable[[GatewayConfig], None],
+        on_config: Callable[[GatewayConfig], None],
     ) -> None:
         super().__init__(store, stream, clock, health)
         self.config: GatewayConfig | None = None
         self.raw = b""
         self._key = key
         self._decode = decode
-        self._in_force = in_force
+        self._on_config = on_config
 
     @property
     def pause_s(self) -> float:
@@ -174,7 +174,7 @@
         """Seconds for which the store holds a read until there is a record."""
         return CONFIG_WAIT_S
 
-    def list(self, records: tuple[KeyedRecord, ...]) -> None:
+    def apply_listing(self, records: tuple[KeyedRecord, ...]) -> None:
         """Apply the newest record of each key."""
         self.apply(records)
 
@@ -182,9 +182,9 @@
         """Apply later records, in order."""
         for record in records:
             if record.key == self._key and record.value is not None:
-                self.offer(record)
+                self.apply_second_hand(record)
 
-    def offer(self, record: KeyedRecord) -> None:
+    def apply_second_hand(self, record: KeyedRecord) -> None:
         """Apply a configuration if it is valid and newer than the current one."""
         raw = record.value or b""
         try:
@@ -204,4 +204,4 @@
             routes=len(config.routes),
             prepaid={w.name: w.prepaid_tokens for w in config.workspaces.values()},
         )
-        self._in_force(config)
+        self._on_config(config)
--- a/mothstand/gateway/forward.py
+++ b/mothstand/gateway/forward.py
@@ -8,14 +8,14 @@
 
 import anyio
 
-from ..core.admission import Admission, come_back_s
-from ..core.patience import Patience
-from ..core.placement import session_of
+from ..core.adaptive_timeout import AdaptiveTimeout
+from ..core.admission import Admission, random_retry_after_s
+from ..core.placement import session_key
 from ..core.retry_budget import RetryBudget
 from ..core.routes import RequestKind
 from ..errors import ErrorKind, Refusal, RefusedError
 from ..events import Event, emit
-from .call import WholeAnswer
+from .call import CompleteAnswer
 from .headers import ForwardFields
 from .upstream_client import (
     ConnectionBrokenError,
@@ -30,9 +30,9 @@
     from collections.abc import Awaitable, Callable
 
     from ..clock import Clock
-    from ..core.placement import Placed, Placement
+    from ..core.placement import PlacedRequest, Placement
     from ..core.retry_budget import RetryBudgetSettings, RetryDecision
-    from ..core.stall_watch import StallWatch
+    from ..core.stall_detector import StallDetector
     from ..core.upstreams import RegisteredUpstream, UpstreamDirectory
     from .call import Call, CallerConnection
     from .crash_guard import CrashGuard
@@ -41,30 +41,30 @@
     from .upstream_client import UpstreamClient
 
 #: Refusals by upstreams that one request may meet; more only add load where there is no room.
-_MOST_REFUSALS = 3
+_MAX_REFUSALS = 3
 
 #: Upstreams that one request may find unreachable before it is refused; each costs it a timeout of
 #: 0.2 s, and whoever is refused after a second does better at another instance.
-_MOST_UNCONNECTED = 4
+_MAX_UNCONNECTED = 4
 
 #: Seconds between two looks at whether another upstream may be tried meanwhile.
-_ELSEWHERE_LOOK_S = 0.1
+_RETRY_POLL_INTERVAL_S = 0.1
 
 #: Server errors of upstreams start here.
 _SERVER_ERROR = 500
 _OK = 200
 
 #: When all upstreams are full, some slot frees within a request's usual duration.
-_FULL_COME_BACK_S = 0.5
+_FULL_RETRY_AFTER_S = 0.5
 
 
 #: An upstream's deadline ends so long before the caller's, for its verdict to come in time. Of a
 #: request that waited in its queue to the end it says that it did not run; cut off at the very
 #: deadline, the caller would be told 504, and the prompt would stay in doubt.
-_VERDICT_S = 0.05
+_DEADLINE_MARGIN_S = 0.05
 
 #: With less time than this left a request is not sent again.
-_LEAST_TRY_S = 0.1
+_MIN_ATTEMPT_S = 0.1
 
 
 class _Retry(Exception):  # noqa: N818 - control flow, not an error
@@ -82,7 +82,7 @@
         directory: UpstreamDirectory,
         retries: RetryBudgetSettings,
         sharers: Callable[[], int],
-        stalls: StallWatch,
+        stall_detector: StallDetector,
         guard: CrashGuard,
         clock: Clock,
         metrics: GatewayMetrics,
@@ -94,11 +94,11 @@
         self._directory = directory
         self._retry_settings = retries
         self._sharers = sharers
-        self._stalls = stalls
+        self._stall_detector = stall_detector
         self._clock = clock
         self._metrics = metrics
-        self._budgets: dict[str, RetryBudget] = {}
-        self._patience = Patience()
+        self._retry_budgets: dict[str, RetryBudget] = {}
+        self._adaptive_timeout = AdaptiveTimeout()
         self._admissions: defaultdict[str, Admission] = defaultdict(Admission)
 
     def admit(self, call: Call) -> None:
@@ -109,11 +109,15 @@
         RefusedError
             It has not run, and should come back later.
         """
-        self._budget(call.service).request(self._stalls.sent_since_s(call.arrived_s))
-        share = self._admissions[call.service].share(call.priority, self._clock.monotonic_s())
+        self._retry_budget(call.service).add_request(
+            self._stall_detector.earliest_send_s(call.arrived_s)
+        )
+        share = self._admissions[call.service].admitted_share(
+            call.priority, self._clock.monotonic_s()
+        )
         if random.random() >= share:
             detail = f"{call.service}: slow, {share:.2f} of such requests are taken on"
-            refusal = Refusal(ErrorKind.OVERLOADED, detail, retry_after_s=come_back_s())
+            refusal = Refusal(ErrorKind.OVERLOADED, detail, retry_after_s=random_retry_after_s())
             raise RefusedError(refusal)
 
     async def run(self, call: Call, caller: CallerConnection) -> None:
@@ -128,16 +132,16 @@
             with anyio.fail_after(max(0.0, self._remaining_s(call))):
                 await self._try_upstreams(call, caller)
         except TimeoutError:
-            if caller.started:
+            if caller.is_started:
                 self._break_off(call, caller, "timeout")
                 return
-            kind = ErrorKind.TIMED_OUT if call.sent else ErrorKind.OVERLOADED
-            raise RefusedError(Refusal(kind, call.attempts_told)) from None
+            kind = ErrorKind.TIMED_OUT if call.sent_attempts else ErrorKind.OVERLOADED
+            raise RefusedError(Refusal(kind, call.reported_attempts)) from None
 
     async def _try_upstreams(self, call: Call, caller: CallerConnection) -> None:
         while True:
             upstream = self._choose(call)
-            if upstream is None or self._guard.holds(call):
+            if upstream is None or self._guard.is_quarantined(call):
                 await self._give_up(call, caller)
                 return
             try:
@@ -150,58 +154,62 @@
 
     def _choose(self, call: Call) -> RegisteredUpstream | None:
         return self._placement.choose(
-            self._directory.of_service(call.service),
+            self._directory.accepting_upstreams(call.service),
             call.fields.prompt,
-            session_of(call.fields.prompt, call.fields.request_id),
-            tried=frozenset(call.tried),
+            session_key(call.fields.prompt, call.fields.request_id),
+            tried=frozenset(call.tried_upstreams),
             now_s=self._clock.monotonic_s(),
         )
 
     def _may_retry(self, call: Call) -> bool:
-        if call.sent >= call.route.attempts or call.refusals >= _MOST_REFUSALS:
+        if call.sent_attempts >= call.route.attempts or call.refusals >= _MAX_REFUSALS:
             return False
         if not self._guard.allows_retry(call):
             return False
-        if self._remaining_s(call) < _LEAST_TRY_S:
+        if self._remaining_s(call) < _MIN_ATTEMPT_S:
             return False
-        if call.sent and not call.route.may_run_twice:
+        if call.sent_attempts and not call.route.may_run_twice:
             return False
-        if not call.sent and not call.refusals:
+        if not call.sent_attempts and not call.refusals:
             # Nothing has arrived anywhere, so the next try is no retry to the service's upstreams.
             # Taken from the retry budget, a cut would use up this instance's share within a second.
-            return len(call.tried) <= _MOST_UNCONNECTED
+            return len(call.tried_upstreams) <= _MAX_UNCONNECTED
         if call.has_retry:
             call.has_retry = False
             return True
-        decision = self._take_retry(call)
+        decision = self._acquire_retry(call)
         if not decision.is_granted:
-            self._note_retry(Event.RETRY_DENIED, call, decision)
+            self._log_retry(Event.RETRY_DENIED, call, decision)
         return decision.is_granted
 
     def _remaining_s(self, call: Call) -> float:
         return call.deadline_s - self._clock.monotonic_s()
 
-    def _budget(self, service: str) -> RetryBudget:
-        if service not in self._budgets:
-            self._budgets[service] = RetryBudget(self._retry_settings)
-        return self._budgets[service]
+    def _retry_budget(self, service: str) -> RetryBudget:
+        if service not in self._retry_budgets:
+            self._retry_budgets[service] = RetryBudget(self._retry_settings)
+        return self._retry_budgets[service]
 
     async def _give_up(self, call: Call, caller: CallerConnection) -> None:
         """Answer with the best that is true: an upstream's own failure, or a refusal."""
-        if caller.started:
+        if caller.is_started:
             self._break_off(call, caller, "no upstream left")
         elif call.failed_answer is not None:
             answer = call.failed_answer
-            await caller.send_whole(answer.status, answer.reason, answer.headers, answer.body)
-        elif call.sent:
-            raise RefusedError(Refusal(ErrorKind.OUTCOME_UNKNOWN, call.attempts_told))
-        elif self._guard.holds(call):
+            await caller.send_complete(answer.status, answer.reason, answer.headers, answer.body)
+        elif call.sent_attempts:
+            raise RefusedError(Refusal(ErrorKind.OUTCOME_UNKNOWN, call.reported_attempts))
+        elif self._guard.is_quarantined(call):
             raise RefusedError(self._guard.refusal(call))
         elif call.refusals:
-            told = call.attempts_told
-            raise RefusedError(Refusal(ErrorKind.OVERLOADED, told, retry_after_s=_FULL_COME_BACK_S))
+            attempts = call.reported_attempts
+            raise RefusedError(
+                Refusal(ErrorKind.OVERLOADED, attempts, retry_after_s=_FULL_RETRY_AFTER_S)
+            )
         else:
-            refusal = Refusal(ErrorKind.NO_UPSTREAM, call.service, retry_after_s=_FULL_COME_BACK_S)
+            refusal = Refusal(
+                ErrorKind.NO_UPSTREAM, call.service, retry_after_s=_FULL_RETRY_AFTER_S
+            )
             raise RefusedError(refusal)
 
     def _break_off(self, call: Call, caller: CallerConnection, reason: str) -> None:
@@ -211,7 +219,7 @@
             Event.ANSWER_BROKEN,
             request=call.fields.request_id,
             reason=reason,
-            events=call.progress.events,
+            events=call.progress.sent_events,
             last_event_id=call.progress.last_event_id,
         )
 
@@ -225,44 +233,46 @@
         _Retry
             If it failed, and what is known of it stands in `call`.
         """
-        call.tried.add(upstream.upstream_id)
+        call.tried_upstreams.add(upstream.upstream_id)
         call.upstream_id = upstream.upstream_id
         call.registrations_age_s = self._directory.age_s(self._clock.monotonic_s())
-        placed = self._placement.started(upstream, call.fields.prompt, self._clock.monotonic_s())
+        placed = self._placement.note_started(
+            upstream, call.fields.prompt, self._clock.monotonic_s()
+        )
         answer: UpstreamAnswer | None = None
-        self._guard.began(call)
+        self._guard.note_attempt_began(call)
         call.attempt_began_s = self._clock.monotonic_s()
         # Counted first: once the request is on its way, a cancelled attempt may have run too.
-        call.sent += 1
+        call.sent_attempts += 1
         try:
             answer = await self._send(call, upstream)
             await self._pass_on(call, answer, placed, caller)
-            self._placement.succeeded(upstream)
-            self._guard.answered(call, answer)
+            self._placement.note_success(upstream)
+            self._guard.note_answered(call, answer)
         except (NotRunError, MayHaveRunError) as error:
             if isinstance(error, NotRunError):
-                call.sent -= 1
-            pause_s = self._judge(call, upstream, error)
-            self._note_failure(call, upstream, error, pause_s)
+                call.sent_attempts -= 1
+            pause_s = self._handle_failure(call, upstream, error)
+            self._log_failure(call, upstream, error, pause_s)
             raise _Retry from error
         finally:
-            self._placement.ended(placed)
+            self._placement.note_ended(placed)
             if answer is not None:
                 answer.close()
 
-    def _judge(self, call: Call, upstream: RegisteredUpstream, error: Exception) -> float:
+    def _handle_failure(self, call: Call, upstream: RegisteredUpstream, error: Exception) -> float:
         """Take what a failure says of its upstream; return for how long it is left alone."""
         now_s = self._clock.monotonic_s()
-        self._guard.failed(call, upstream, error)
+        self._guard.note_attempt_failed(call, upstream, error)
         if isinstance(error, MisdirectedError):
             call.refusals += 1
-            self._directory.ended(upstream)
+            self._directory.note_process_ended(upstream)
             return 0.0
         if isinstance(error, RefusedByUpstreamError):
             call.refusals += 1
-            self._placement.full(upstream, now_s)
+            self._placement.note_full(upstream, now_s)
             return 0.0
-        return self._placement.failed(upstream, now_s)
+        return self._placement.note_failure(upstream, now_s)
 
     async def _send(self, call: Call, upstream: RegisteredUpstream) -> UpstreamAnswer:
         headers = self._translator.to_upstream(
@@ -270,44 +280,46 @@
             ForwardFields(
                 upstream_id=upstream.upstream_id,
                 workspace=call.workspace,
-                remaining_s=max(_VERDICT_S, self._remaining_s(call) - _VERDICT_S),
+                remaining_s=max(_DEADLINE_MARGIN_S, self._remaining_s(call) - _DEADLINE_MARGIN_S),
                 priority=call.priority,
                 last_event_id=call.progress.last_event_id or call.fields.last_event_id,
             ),
         )
         sending = self._client.send(upstream, call.request, headers)
-        is_last = call.sent >= call.route.attempts or call.trial is not None
+        is_last = call.sent_attempts >= call.route.attempts or call.probe is not None
         if not call.route.may_run_twice or is_last:
-            return await self._timed(call, sending)
-        return await self._patiently(call, sending)
+            return await self._record_head_time(call, sending)
+        return await self._send_with_early_retry(call, sending)
 
-    async def _patiently(self, call: Call, sending: Awaitable[UpstreamAnswer]) -> UpstreamAnswer:
+    async def _send_with_early_retry(
+        self, call: Call, sending: Awaitable[UpstreamAnswer]
+    ) -> UpstreamAnswer:
         """Wait for an answer's head until it is better to go elsewhere, as long as that can be.
 
         In a burst the upstreams are slow and the retries used up. A request that is taken from its
         upstream's queue then has nowhere to go, and fails though it would have been answered.
         """
-        patience_s = self._patience.of(call.service, call.route.objective_s)
+        timeout_s = self._adaptive_timeout.timeout_s(call.service, call.route.objective_s)
         result: UpstreamAnswer | Exception | None = None
-        over = anyio.Event()
+        finished = anyio.Event()
 
         async def send() -> None:
             nonlocal result
             try:
-                result = await self._timed(call, sending)
+                result = await self._record_head_time(call, sending)
             except (NotRunError, MayHaveRunError) as error:
                 result = error
-            over.set()
+            finished.set()
 
         began_s = self._clock.monotonic_s()
         try:
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(send)
-                with anyio.move_on_after(patience_s):
-                    await over.wait()
-                while result is None and not self._may_go_elsewhere(call):
-                    with anyio.move_on_after(_ELSEWHERE_LOOK_S):
-                        await over.wait()
+                with anyio.move_on_after(timeout_s):
+                    await finished.wait()
+                while result is None and not self._acquire_early_retry(call):
+                    with anyio.move_on_after(_RETRY_POLL_INTERVAL_S):
+                        await finished.wait()
                 tasks.cancel_scope.cancel()
         except BaseException:
             # The caller left as the answer came: nobody else would end it at its upstream.
@@ -321,79 +333,83 @@
             raise result
         return result
 
-    def _may_go_elsewhere(self, call: Call) -> bool:
+    def _acquire_early_retry(self, call: Call) -> bool:
         """Return whether a request that waits at an upstream can be sent to another one now.
 
         The retry is taken here: all that wait look at the same few, and whoever left its upstream
         and found the last one gone had nowhere to go.
         """
         # Asked ten times a second by each request that waits: so no choice is made here.
-        upstreams = self._directory.of_service(call.service)
-        if all(upstream.upstream_id in call.tried for upstream in upstreams):
+        upstreams = self._directory.accepting_upstreams(call.service)
+        if all(upstream.upstream_id in call.tried_upstreams for upstream in upstreams):
             return False
         # Denials are not told here: they would come ten times a second for each request that waits.
-        call.has_retry = self._take_retry(call).is_granted
+        call.has_retry = self._acquire_retry(call).is_granted
         return call.has_retry
 
-    def _take_retry(self, call: Call) -> RetryDecision:
+    def _acquire_retry(self, call: Call) -> RetryDecision:
         now_s = self._clock.monotonic_s()
-        decision = self._budget(call.service).take(now_s, sharers=self._sharers())
+        decision = self._retry_budget(call.service).try_acquire(now_s, sharers=self._sharers())
         if decision.is_granted:
-            self._note_retry(Event.RETRY_GRANTED, call, decision)
+            self._log_retry(Event.RETRY_GRANTED, call, decision)
         return decision
 
-    def _note_retry(self, event: Event, call: Call, decision: RetryDecision) -> None:
+    def _log_retry(self, event: Event, call: Call, decision: RetryDecision) -> None:
         self._metrics.counts[event.name.lower()] += 1
         emit(
             event,
             request=call.fields.request_id,
             service=call.service,
-            taken=decision.taken,
+            taken=decision.used,
             allowed=round(decision.allowed, 2),
             requests=decision.requests,
             sharers=decision.sharers,
         )
 
-    async def _timed(self, call: Call, sending: Awaitable[UpstreamAnswer]) -> UpstreamAnswer:
+    async def _record_head_time(
+        self, call: Call, sending: Awaitable[UpstreamAnswer]
+    ) -> UpstreamAnswer:
         """Return an answer's head, and remember how long it took."""
         began_s = self._clock.monotonic_s()
         answer = await sending
         took_s = self._clock.monotonic_s() - began_s
-        self._patience.answered(call.service, took_s)
+        self._adaptive_timeout.record_response_time(call.service, took_s)
         return answer
 
     async def _pass_on(
-        self, call: Call, answer: UpstreamAnswer, placed: Placed, caller: CallerConnection
+        self, call: Call, answer: UpstreamAnswer, placed: PlacedRequest, caller: CallerConnection
     ) -> None:
         if call.route.kind is RequestKind.STREAMING and answer.status == _OK:
             await self._pass_stream(call, answer, placed, caller)
             return
         body = await answer.read_all()
         headers = self._translator.to_caller(answer.headers)
-        whole = WholeAnswer(answer.status, answer.reason, headers, body)
-        if caller.started:
+        complete = CompleteAnswer(answer.status, answer.reason, headers, body)
+        if caller.is_started:
             raise MayHaveRunError(f"would not resume: status {answer.status}")
         if answer.status >= _SERVER_ERROR and call.route.may_run_twice:
-            call.failed_answer = whole
+            call.failed_answer = complete
             raise MayHaveRunError(f"status {answer.status}")
-        self._note_begin(call)
-        await caller.send_whole(whole.status, whole.reason, whole.headers, whole.body)
+        self._record_response_time(call)
+        await caller.send_complete(
+            complete.status, complete.reason, complete.headers, complete.body
+        )
 
     async def _pass_stream(
-        self, call: Call, answer: UpstreamAnswer, placed: Placed, caller: CallerConnection
+        self, call: Call, answer: UpstreamAnswer, placed: PlacedRequest, caller: CallerConnection
     ) -> None:
         call.progress.restart()
         while piece := await answer.read_piece():
-            self._placement.read(placed)
-            passed = call.progress.take(piece)
+            self._placement.note_prompt_read(placed)
+            passed = call.progress.feed(piece)
             if not passed:
                 continue
-            if not caller.started:
+            if not caller.is_started:
                 await self._start_stream(call, answer, caller)
             await caller.write(passed)
         if not call.progress.splitter.is_between_events:
             raise ConnectionBrokenError("ended in the middle of an event")
-        if not caller.started:
+        if not caller.is_started:
             await self._start_stream(call, answer, caller)
         await caller.finish()
 
@@ -402,17 +418,17 @@
     ) -> None:
         """Send the head along with the first event: before it, another upstream can still be."""
         call.started_after_s = self._clock.monotonic_s() - call.arrived_s
-        self._note_begin(call)
+        self._record_response_time(call)
         self._metrics.record_first_event(call.started_after_s)
         await caller.start(answer.status, answer.reason, self._translator.to_caller(answer.headers))
 
-    def _note_begin(self, call: Call) -> None:
+    def _record_response_time(self, call: Call) -> None:
         """Note how long the upstream took that answers."""
         now_s = self._clock.monotonic_s()
         took_s = now_s - call.attempt_began_s
-        self._admissions[call.service].answered(took_s, call.route.objective_s, now_s)
+        self._admissions[call.service].record_response_time(took_s, call.route.objective_s, now_s)
 
-    def _note_failure(
+    def _log_failure(
         self, call: Call, upstream: RegisteredUpstream, error: Exception, pause_s: float
     ) -> None:
         self._metrics.counts[f"attempt_{type(error).__name__}"] += 1
@@ -422,8 +438,8 @@
             digest=call.digest if isinstance(error, ConnectionBrokenError) else None,
             upstream=upstream.upstream_id,
             error=str(error),
-            sent=call.sent,
-            events=call.progress.events,
+            sent=call.sent_attempts,
+            events=call.progress.sent_events,
             elapsed_s=round(self._clock.monotonic_s() - call.arrived_s, 3),
             left_alone_s=pause_s,
         )
--- a/mothstand/gateway/headers.py
+++ b/mothstand/gateway/headers.py
@@ -61,9 +61,9 @@
     """
 
     request_id: str
-    not_run: bool
-    misdirected: bool
-    last: bool
+    has_not_run: bool
+    is_misdirected: bool
+    closes_connection: bool
 
 
 class HeaderTranslator(ABC):
@@ -92,10 +92,12 @@
         """Return an upstream's headers as a caller gets them."""
 
     @abstractmethod
-    def of_refusal(self, request_id: str, retry_after_s: float | None) -> RawHeaders:
+    def refusal_headers(self, request_id: str, retry_after_s: float | None) -> RawHeaders:
         """Return the headers of an answer of the gateway's own."""
 
 
-def without(headers: Iterable[tuple[str, str]], names: frozenset[str]) -> list[tuple[str, str]]:
+def without_headers(
+    headers: Iterable[tuple[str, str]], names: frozenset[str]
+) -> list[tuple[str, str]]:
     """Return headers but for some, named in lower case."""
     return [(name, value) for name, value in headers if name.lower() not in names]
--- a/mothstand/gateway/instance.py
+++ b/mothstand/gateway/instance.py
@@ -14,24 +14,24 @@
 from ..core.placement import Placement
 from ..core.retry_budget import RetryBudgetSettings
 from ..core.shutdown import Shutdown
-from ..core.stall_watch import TICK_S, StallWatch
+from ..core.stall_detector import TICK_S, StallDetector
 from ..events import Event, emit
-from ..log.health import LogHealth
+from ..log.health import PlatformHealth
 from ..process_start import BACKLOG
 from ..settings.instance import Address
 from ..types import BudgetName
 from .accounts import Accounts
 from .bootstrap import Bootstrap
+from .crash_detector import CrashDetector, TcpLivenessCheck
 from .crash_guard import CrashGuard
-from .end_watch import EndWatch, TcpLivenessCheck
 from .feeds import ConfigFeed
 from .forward import Forwarder
-from .lending import GrpcPeerLink, Knowledge, LendingService, serve_peers
+from .lending import BootstrapState, GrpcPeerLink, LendingService, serve_peers
 from .member_feed import MemberFeed
 from .metrics import GatewayMetrics
 from .quarantine_feed import QuarantineFeed
 from .server import GatewayServer
-from .start_wait import StartWait
+from .startup_wait import StartupWait
 from .store_witness import PeerWitness
 from .upstream_client import UpstreamClient
 from .upstream_feed import UpstreamFeed
@@ -49,28 +49,34 @@
     from .platform_parts import PlatformParts
 
 #: Seconds between two checks whether a stop is over.
-_STOP_LOOK_S = 0.1
+_STOP_CHECK_INTERVAL_S = 0.1
 
 #: Seconds in which requests may still end when the process has to. With the library's default of
 #: a minute, the grace period would end first and the process be killed with its claims held.
-_CUT_AFTER_S = 0.2
+_SHUTDOWN_TIMEOUT_S = 0.2
 
-_RESTART_TASK_S = 0.2
+_TASK_RESTART_DELAY_S = 0.2
 
 
 class GatewayInstance:
     """A gateway instance that serves until SIGTERM."""
 
     def __init__(
-        self, settings: GatewaySettings, parts: PlatformParts, clock: Clock, started: ProcessStart
+        self,
+        settings: GatewaySettings,
+        parts: PlatformParts,
+        clock: Clock,
+        process_start: ProcessStart,
     ) -> None:
         self._settings = settings
-        self._started = started
+        self._process_start = process_start
         self._clock = clock
         self._shutdown = Shutdown(settings.timing.grace_s)
-        self._me = Peer(settings.instance.name, uuid.uuid4().hex[:12], settings.listen.peers)
+        self._local_peer = Peer(
+            settings.instance.name, uuid.uuid4().hex[:12], settings.listen.peers
+        )
         self._metrics = GatewayMetrics()
-        self._health = LogHealth(clock)
+        self._health = PlatformHealth(clock)
         self._store = parts.store
         self._prepaid_tokens: dict[BudgetName, int] = {}
         translator: HeaderTranslator = parts.headers
@@ -81,19 +87,19 @@
             clock,
             self._health,
             parts.decode_config,
-            self._config_in_force,
+            self._on_config,
         )
         self._placement = Placement(settings.data_centre)
         self._link = GrpcPeerLink()
         retries = _retry_settings(settings)
         self._members = MemberFeed(
             parts.store,
-            Member(self._me, settings.data_centre, _capacity(settings)),
+            Member(self._local_peer, settings.data_centre, _capacity(settings)),
             clock,
             self._health,
-            lambda: self._accounts.look(),
+            lambda: self._accounts.poll(),
             retries,
-            started_s=started.started_s,
+            started_s=process_start.started_s,
         )
         self._upstream_feed = UpstreamFeed(
             parts.store,
@@ -107,24 +113,24 @@
         )
         self._accounts = Accounts(
             settings,
-            self._me,
+            self._local_peer,
             parts.store,
             self._link,
             clock,
             self._health,
             self._prepaid,
             self._members,
-            started_s=started.started_s,
+            started_s=process_start.started_s,
         )
         self._client = UpstreamClient(settings, translator)
-        self._stalls = StallWatch()
+        self._stall_detector = StallDetector()
         self._quarantine_feed = QuarantineFeed(
             parts.store,
             clock,
             self._health,
-            self._me.instance,
+            self._local_peer.instance,
             self._link,
-            lambda: [member.peer.address for member in self._members.fleet.others()],
+            lambda: [member.peer.address for member in self._members.fleet.other_members()],
             lambda: self._members.fleet.size,
         )
         self._bootstrap = Bootstrap(
@@ -137,20 +143,20 @@
             self._quarantine_feed,
             clock,
         )
-        self._ends = EndWatch(
+        self._crash_detector = CrashDetector(
             TcpLivenessCheck(settings.timing.connect_timeout_s),
             clock,
             self._quarantine_feed.report,
         )
-        guard = CrashGuard(self._quarantine_feed, self._ends, clock)
+        guard = CrashGuard(self._quarantine_feed, self._crash_detector, clock)
         forwarder = Forwarder(
             self._client,
             translator,
             self._placement,
             self._upstream_feed.directory,
             retries,
-            lambda: self._members.shares.sharers(clock.monotonic_s()),
-            self._stalls,
+            lambda: self._members.burst_shares.sharers(clock.monotonic_s()),
+            self._stall_detector,
             guard,
             clock,
             self._metrics,
@@ -164,64 +170,64 @@
             clock,
             self._metrics,
             self._shutdown,
-            StartWait(clock, started.started_s, self._can_serve),
+            StartupWait(clock, process_start.started_s, self._can_serve),
         )
 
     def _forget_upstream(self, upstream: RegisteredUpstream) -> None:
         self._placement.forget(upstream)
-        self._client.forget(upstream)
-        self._ends.gone(upstream)
+        self._client.close_idle_connections(upstream)
+        self._crash_detector.note_deregistered(upstream)
 
     async def run(self) -> None:
         """Serve until SIGTERM."""
-        runner = web.ServerRunner(self._server.make(), shutdown_timeout=_CUT_AFTER_S)
+        runner = web.ServerRunner(self._server.make_server(), shutdown_timeout=_SHUTDOWN_TIMEOUT_S)
         await runner.setup()
-        checks = web.ServerRunner(web.Server(self._check, access_log=None))
+        checks = web.ServerRunner(web.Server(self._serve_checks, access_log=None))
         await checks.setup()
         listen = self._settings.listen
-        await _listen(runner, listen.callers, self._started.callers)
+        await _listen(runner, listen.callers, self._process_start.callers_socket)
         await _listen(checks, listen.ready)
         await _listen(checks, listen.metrics)
         service = LendingService(
             self._accounts.lend,
             self._accounts.take_over,
-            self._knowledge,
-            self._upstream_feed.followed_s,
-            self._quarantine_feed.take_from_peer,
+            self._bootstrap_state,
+            self._upstream_feed.gapless_s,
+            self._quarantine_feed.apply_from_peer,
         )
         peer_server = await serve_peers(service, listen.peers)
         emit(
             Event.INSTANCE_STARTED,
-            instance=self._me.instance,
-            incarnation=self._me.incarnation,
+            instance=self._local_peer.instance,
+            incarnation=self._local_peer.incarnation,
             data_centre=self._settings.data_centre,
-            cores=self._members.fleet.me.capacity.cores,
-            link_mbit_per_s=self._members.fleet.me.capacity.link_mbit_per_s,
+            cores=self._members.fleet.local_member.capacity.cores,
+            link_mbit_per_s=self._members.fleet.local_member.capacity.link_mbit_per_s,
         )
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._keep, "config", self._config_feed.run)
-            tasks.start_soon(self._keep, "upstreams", self._upstream_feed.run)
-            tasks.start_soon(self._keep, "members", self._members.run)
-            tasks.start_soon(self._keep, "claims", self._accounts.run)
-            tasks.start_soon(self._keep, "bootstrap", self._bootstrap.run)
-            tasks.start_soon(self._keep, "stalls", self._watch_stalls)
-            tasks.start_soon(self._keep, "upstream ends", self._ends.run)
-            tasks.start_soon(self._keep, "quarantine", self._quarantine_feed.run)
+            tasks.start_soon(self._run_with_restarts, "config", self._config_feed.run)
+            tasks.start_soon(self._run_with_restarts, "upstreams", self._upstream_feed.run)
+            tasks.start_soon(self._run_with_restarts, "members", self._members.run)
+            tasks.start_soon(self._run_with_restarts, "claims", self._accounts.run)
+            tasks.start_soon(self._run_with_restarts, "bootstrap", self._bootstrap.run)
+            tasks.start_soon(self._run_with_restarts, "stalls", self._detect_stalls)
+            tasks.start_soon(self._run_with_restarts, "upstream ends", self._crash_detector.run)
+            tasks.start_soon(self._run_with_restarts, "quarantine", self._quarantine_feed.run)
             await self._wait_for_stop()
             # Requests have to end before claims are lowered: running requests count with their
             # maximum, and the unused part of it would stay claimed.
             await runner.cleanup()
             tasks.cancel_scope.cancel()
-        await self._accounts.leave(until_s=self._shutdown.ends_s)
+        await self._accounts.stop(until_s=self._shutdown.deadline_s)
         await checks.cleanup()
         peer_server.close()
         self._link.close()
         await self._client.aclose()
         await self._store.aclose()
         unused = self._accounts.unused_tokens()
-        emit(Event.INSTANCE_STOPPED, instance=self._me.instance, still_claimed=unused)
+        emit(Event.INSTANCE_STOPPED, instance=self._local_peer.instance, still_claimed=unused)
 
-    async def _keep(self, name: str, work: Callable[[], Awaitable[None]]) -> None:
+    async def _run_with_restarts(self, name: str, work: Callable[[], Awaitable[None]]) -> None:
         """Run a task and restart it if it fails; meanwhile the instance serves without it."""
         while True:
             try:
@@ -229,11 +235,11 @@
                 return
             except Exception as error:
                 emit(Event.TASK_FAILED, task=name, error=repr(error))
-                await self._clock.sleep(_RESTART_TASK_S)
+                await self._clock.sleep(_TASK_RESTART_DELAY_S)
 
-    async def _watch_stalls(self) -> None:
+    async def _detect_stalls(self) -> None:
         while True:
-            self._stalls.tick(self._clock.monotonic_s())
+            self._stall_detector.tick(self._clock.monotonic_s())
             await self._clock.sleep(TICK_S)
 
     async def _wait_for_stop(self) -> None:
@@ -241,17 +247,23 @@
             async for number in signals:
                 if number == signal.SIGTERM:
                     break
-                emit(Event.SETTINGS_CHANGED, instance=self._me.instance)
+                emit(Event.SETTINGS_CHANGED, instance=self._local_peer.instance)
         self._shutdown.began_s = self._clock.monotonic_s()
-        emit(Event.INSTANCE_STOPPING, instance=self._me.instance, running=self._server.running)
-        is_leaving = False
-        while not self._shutdown.is_over(self._clock.monotonic_s(), running=self._server.running):
-            if not is_leaving and self._shutdown.refuses(self._clock.monotonic_s()):
-                is_leaving = True
-                self._accounts.begin_leaving()
-            await self._clock.sleep(_STOP_LOOK_S)
+        emit(
+            Event.INSTANCE_STOPPING,
+            instance=self._local_peer.instance,
+            running=self._server.running_requests,
+        )
+        is_giving_back = False
+        while not self._shutdown.is_over(
+            self._clock.monotonic_s(), running=self._server.running_requests
+        ):
+            if not is_giving_back and self._shutdown.refuses_requests(self._clock.monotonic_s()):
+                is_giving_back = True
+                self._accounts.begin_stopping()
+            await self._clock.sleep(_STOP_CHECK_INTERVAL_S)
 
-    async def _check(self, request: web.BaseRequest) -> web.StreamResponse:
+    async def _serve_checks(self, request: web.BaseRequest) -> web.StreamResponse:
         """Answer paths that contain `metrics` with the metrics, and others with readiness."""
         if "metrics" in request.path:
             return web.Response(text=self._metrics.text())
@@ -269,26 +281,26 @@
         knows_upstreams = self._upstream_feed.is_listed or self._health.is_failing
         return self._config() is not None and knows_fleet and knows_upstreams
 
-    def _knowledge(self) -> Knowledge:
+    def _bootstrap_state(self) -> BootstrapState:
         """Return the state that an instance needs to start while the store is unreachable."""
-        return Knowledge(
+        return BootstrapState(
             self._config_feed.raw,
             self._upstream_feed.raw_records(),
-            self._members.known(),
-            self._quarantine_feed.known(),
+            self._members.known_records(),
+            self._quarantine_feed.known_records(),
         )
 
     def _config(self) -> GatewayConfig | None:
         return self._config_feed.config
 
-    def _config_in_force(self, config: GatewayConfig) -> None:
+    def _on_config(self, config: GatewayConfig) -> None:
         # Computed once per configuration since every reservation needs the totals.
         self._prepaid_tokens = {
             BudgetName(w.name): w.prepaid_tokens
             for w in config.workspaces.values()
             if w.prepaid_tokens is not None
         }
-        self._accounts.look()
+        self._accounts.poll()
 
     def _prepaid(self) -> dict[BudgetName, int]:
         return self._prepaid_tokens
--- a/mothstand/gateway/lending.py
+++ b/mothstand/gateway/lending.py
@@ -28,7 +28,7 @@
 
 #: A peer in the same region answers within a few milliseconds; a waiting request can afford this.
 LOAN_TIMEOUT_S = 0.25
-KNOWLEDGE_TIMEOUT_S = 0.6
+BOOTSTRAP_TIMEOUT_S = 0.6
 
 #: Registrations are not read from the store during this call; a live peer answers within
 #: milliseconds.
@@ -36,7 +36,7 @@
 
 #: Maximum duration of a connection attempt: longer than packets wait on a full link, and shorter
 #: than the 1 s after which the first lost packet of a new connection is sent again.
-CONNECT_MOST_S = 0.8
+MAX_CONNECT_S = 0.8
 
 
 @dataclass(frozen=True, slots=True)
@@ -103,7 +103,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Knowledge:
+class BootstrapState:
     """State that a starting instance gets from a peer, in the format of the store.
 
     Parameters
@@ -115,7 +115,7 @@
     config: bytes
     upstreams: tuple[KeyedRecord, ...]
     members: tuple[KeyedRecord, ...]
-    ends: tuple[KeyedRecord, ...] = ()
+    quarantine_records: tuple[KeyedRecord, ...] = ()
 
 
 class PeerLink(ABC):
@@ -142,7 +142,7 @@
         """
 
     @abstractmethod
-    async def knowledge(self, address: str) -> Knowledge:
+    async def bootstrap_state(self, address: str) -> BootstrapState:
         """Return the state that a peer has of configuration, upstreams, members and quarantine.
 
         Raises
@@ -152,7 +152,7 @@
         """
 
     @abstractmethod
-    async def registrations_followed_s(self, address: str) -> float:
+    async def registrations_gapless_s(self, address: str) -> float:
         """Return the seconds for which a peer has read the registrations without a gap.
 
         Raises
@@ -162,7 +162,7 @@
         """
 
     @abstractmethod
-    async def tell_ends(self, address: str, ends: tuple[KeyedRecord, ...]) -> None:
+    async def send_quarantine_records(self, address: str, records: tuple[KeyedRecord, ...]) -> None:
         """Send records of the quarantine to a peer.
 
         Raises
@@ -176,14 +176,14 @@
         """Close all connections."""
 
 
-class _LingeringChannel(Channel):
+class _BackgroundConnectChannel(Channel):
     """Channel whose connection attempt continues after a call has timed out.
 
     On a full link connecting takes longer than the timeout of a call. If each call cancelled its
     attempt, no connection would ever be established.
     """
 
-    _attempt: asyncio.Task[H2Protocol] | None = None
+    _connect_task: asyncio.Task[H2Protocol] | None = None
 
     #: Whether a connection was ever established; before that, no call can have sent anything.
     has_connected = False
@@ -194,30 +194,30 @@
         No call may cancel the attempt: that would cancel all calls that wait for it, and with them
         the whole program.
         """
-        if self._attempt is None or self._attempt.done():
-            connecting = asyncio.wait_for(super().__connect__(), CONNECT_MOST_S)
-            self._attempt = asyncio.create_task(connecting)
+        if self._connect_task is None or self._connect_task.done():
+            connecting = asyncio.wait_for(super().__connect__(), MAX_CONNECT_S)
+            self._connect_task = asyncio.create_task(connecting)
             # Waiting calls get the exception; without any, it can be ignored.
-            self._attempt.add_done_callback(_take_failure)
-        protocol = await asyncio.shield(self._attempt)
+            self._connect_task.add_done_callback(_consume_exception)
+        protocol = await asyncio.shield(self._connect_task)
         self.has_connected = True
         return protocol
 
     @property
-    def connects_still(self) -> bool:
+    def is_connecting(self) -> bool:
         """Whether a connection attempt is running."""
-        return self._attempt is not None and not self._attempt.done()
+        return self._connect_task is not None and not self._connect_task.done()
 
     def close(self) -> None:
         """Close the connection; a running attempt is closed when it ends."""
-        if self._attempt is not None and not self._attempt.done():
-            self._attempt.add_done_callback(lambda _: Channel.close(self))
+        if self._connect_task is not None and not self._connect_task.done():
+            self._connect_task.add_done_callback(lambda _: Channel.close(self))
         super().close()
 
 
-def _take_failure(attempt: asyncio.Task[H2Protocol]) -> None:
-    if not attempt.cancelled():
-        attempt.exception()
+def _consume_exception(connect_task: asyncio.Task[H2Protocol]) -> None:
+    if not connect_task.cancelled():
+        connect_task.exception()
 
 
 class GrpcPeerLink(PeerLink):
@@ -230,7 +230,7 @@
     """
 
     def __init__(self) -> None:
-        self._channels: dict[str, _LingeringChannel] = {}
+        self._channels: dict[str, _BackgroundConnectChannel] = {}
 
     async def borrow(self, address: str, request: LoanRequest) -> LoanReply:
         """Ask a peer for tokens."""
@@ -245,9 +245,9 @@
         )
         with self._call(address) as stub, anyio.fail_after(LOAN_TIMEOUT_S):
             reply = await stub.Lend(message)
-        named = tuple(Holding(h.instance, h.tokens) for h in reply.holdings)
-        known = named if reply.knows_holdings else None
-        return LoanReply(reply.given_tokens, reply.spent_tokens, known)
+        named_holdings = tuple(Holding(h.instance, h.tokens) for h in reply.holdings)
+        holdings = named_holdings if reply.knows_holdings else None
+        return LoanReply(reply.given_tokens, reply.spent_tokens, holdings)
 
     async def hand_over(self, address: str, handover: Handover) -> None:
         """Move tokens to a peer."""
@@ -257,54 +257,54 @@
         with self._call(address) as stub, anyio.fail_after(LOAN_TIMEOUT_S):
             await stub.TakeOver(message)
 
-    async def knowledge(self, address: str) -> Knowledge:
+    async def bootstrap_state(self, address: str) -> BootstrapState:
         """Return the state that a peer has of configuration, upstreams, members and quarantine."""
-        with self._call(address) as stub, anyio.fail_after(KNOWLEDGE_TIMEOUT_S):
+        with self._call(address) as stub, anyio.fail_after(BOOTSTRAP_TIMEOUT_S):
             reply = await stub.Knowledge(pb.KnowledgeRequest())
-        return Knowledge(
+        return BootstrapState(
             config=reply.config,
             upstreams=tuple(KeyedRecord(r.key, r.value) for r in reply.upstreams),
             members=tuple(KeyedRecord(r.key, r.value) for r in reply.members),
-            ends=tuple(KeyedRecord(r.key, r.value) for r in reply.ends),
+            quarantine_records=tuple(KeyedRecord(r.key, r.value) for r in reply.ends),
         )
 
-    async def registrations_followed_s(self, address: str) -> float:
+    async def registrations_gapless_s(self, address: str) -> float:
         """Return the seconds for which a peer has read the registrations without a gap."""
         with self._call(address) as stub, anyio.fail_after(WITNESS_TIMEOUT_S):
             reply = await stub.Registrations(pb.RegistrationsRequest())
         return reply.followed_s
 
-    async def tell_ends(self, address: str, ends: tuple[KeyedRecord, ...]) -> None:
+    async def send_quarantine_records(self, address: str, records: tuple[KeyedRecord, ...]) -> None:
         """Send records of the quarantine to a peer."""
         # A record without a value deletes its key.
-        told = [pb.StoredRecord(key=r.key, value=r.value or b"") for r in ends]
+        messages = [pb.StoredRecord(key=r.key, value=r.value or b"") for r in records]
         with self._call(address) as stub, anyio.fail_after(LOAN_TIMEOUT_S):
-            await stub.TellEnds(pb.EndsRequest(ends=told))
+            await stub.TellEnds(pb.EndsRequest(ends=messages))
 
     def close(self) -> None:
         """Close all connections."""
         for address in list(self._channels):
-            self._drop(address)
+            self._close_channel(address)
 
     def _call(self, address: str) -> _Call:
         return _Call(self, address)
 
-    def channel(self, address: str) -> _LingeringChannel:
+    def channel(self, address: str) -> _BackgroundConnectChannel:
         """Return the channel to a peer."""
         if address not in self._channels:
             target = Address.parse(address)
-            self._channels[address] = _LingeringChannel(target.host, target.port)
+            self._channels[address] = _BackgroundConnectChannel(target.host, target.port)
         return self._channels[address]
 
-    def _drop(self, address: str) -> None:
+    def _close_channel(self, address: str) -> None:
         channel = self._channels.pop(address, None)
         if channel is not None:
             channel.close()
 
-    def failed(self, address: str, channel: _LingeringChannel) -> None:
+    def note_failure(self, address: str, channel: _BackgroundConnectChannel) -> None:
         """Close the channel of a call without an answer, unless it is still connecting."""
-        if self._channels.get(address) is channel and not channel.connects_still:
-            self._drop(address)
+        if self._channels.get(address) is channel and not channel.is_connecting:
+            self._close_channel(address)
 
 
 class _Call:
@@ -326,9 +326,9 @@
 
     def __exit__(self, kind: object, error: BaseException | None, _: object) -> None:
         if isinstance(error, (TimeoutError, GRPCError, StreamTerminatedError, OSError)):
-            self._link.failed(self._address, self._channel)
-            may_be_sent = self._channel.has_connected
-            failure = PeerError if may_be_sent else PeerUnreachableError
+            self._link.note_failure(self._address, self._channel)
+            may_have_been_sent = self._channel.has_connected
+            failure = PeerError if may_have_been_sent else PeerUnreachableError
             raise failure(f"{self._address}: {error!r}") from error
 
 
@@ -339,15 +339,15 @@
         self,
         lend: Callable[[LoanRequest], Awaitable[LoanReply]],
         take_over: Callable[[Handover], None],
-        knowledge: Callable[[], Knowledge],
-        registrations_followed_s: Callable[[], float],
-        take_ends: Callable[[Iterable[KeyedRecord]], None],
+        bootstrap_state: Callable[[], BootstrapState],
+        registrations_gapless_s: Callable[[], float],
+        apply_quarantine_records: Callable[[Iterable[KeyedRecord]], None],
     ) -> None:
-        self._take_ends = take_ends
+        self._apply_quarantine_records = apply_quarantine_records
         self._lend = lend
         self._take_over = take_over
-        self._knowledge = knowledge
-        self._registrations_followed_s = registrations_followed_s
+        self._bootstrap_state = bootstrap_state
+        self._registrations_gapless_s = registrations_gapless_s
 
     async def Lend(self, stream: Stream[pb.LoanRequest, pb.LoanReply]) -> None:  # noqa: N802
         """Lend tokens to the caller."""
@@ -390,12 +390,12 @@
     ) -> None:
         """Send the bootstrap state to the caller."""
         await stream.recv_message()
-        known = self._knowledge()
+        state = self._bootstrap_state()
         reply = pb.KnowledgeReply(
-            config=known.config,
-            upstreams=[pb.StoredRecord(key=r.key, value=r.value) for r in known.upstreams],
-            members=[pb.StoredRecord(key=r.key, value=r.value) for r in known.members],
-            ends=[pb.StoredRecord(key=r.key, value=r.value) for r in known.ends],
+            config=state.config,
+            upstreams=[pb.StoredRecord(key=r.key, value=r.value) for r in state.upstreams],
+            members=[pb.StoredRecord(key=r.key, value=r.value) for r in state.members],
+            ends=[pb.StoredRecord(key=r.key, value=r.value) for r in state.quarantine_records],
         )
         await stream.send_message(reply)
 
@@ -404,9 +404,7 @@
     ) -> None:
         """Send the seconds for which this instance has read the registrations without a gap."""
         await stream.recv_message()
-        await stream.send_message(
-            pb.RegistrationsReply(followed_s=self._registrations_followed_s())
-        )
+        await stream.send_message(pb.RegistrationsReply(followed_s=self._registrations_gapless_s()))
 
     async def TellEnds(  # noqa: N802
         self, stream: Stream[pb.EndsRequest, pb.EndsReply]
@@ -415,7 +413,7 @@
         message = await stream.recv_message()
         if message is None:
             return
-        self._take_ends(KeyedRecord(r.key, r.value or None) for r in message.ends)
+        self._apply_quarantine_records(KeyedRecord(r.key, r.value or None) for r in message.ends)
         await stream.send_message(pb.EndsReply())
 
 
--- a/mothstand/gateway/log_output.py
+++ b/mothstand/gateway/log_output.py
@@ -17,39 +17,41 @@
 
 #: Lines a second that may be written, on average and at once. Four times those of an instance at
 #: twice its usual load; a line is about 250 bytes, so 50 kB a second.
-_LINES_PER_S = 200.0
+_MAX_LINES_PER_S = 200.0
 _BURST_LINES = 400.0
 
 #: Seconds after which it is said how many lines were dropped.
-_TELL_AFTER_S = 1.0
+_DROPPED_REPORT_INTERVAL_S = 1.0
 
 
 #: The logger that `emit` writes to.
 _EVENT_LOGGER = "absl"
 
-_MOST_MESSAGE_CHARACTERS = 200
+_MAX_MESSAGE_CHARACTERS = 200
 
 
 @dataclass(slots=True)
-class LineBudget:
+class LineTokenBucket:
     """How many lines may be written; a token bucket."""
 
-    left: float = _BURST_LINES
-    at_s: float = 0.0
-    dropped: int = 0
+    available_lines: float = _BURST_LINES
+    updated_s: float = 0.0
+    dropped_lines: int = 0
 
-    def take(self, now_s: float) -> bool:
+    def try_acquire(self, now_s: float) -> bool:
         """Return whether one more line may be written, and count it if so."""
-        self.left = min(_BURST_LINES, self.left + (now_s - self.at_s) * _LINES_PER_S)
-        self.at_s = now_s
-        if self.left < 1:
-            self.dropped += 1
+        self.available_lines = min(
+            _BURST_LINES, self.available_lines + (now_s - self.updated_s) * _MAX_LINES_PER_S
+        )
+        self.updated_s = now_s
+        if self.available_lines < 1:
+            self.dropped_lines += 1
             return False
-        self.left -= 1
+        self.available_lines -= 1
         return True
 
 
-class BoundedOutput(logging_of_python.Filter):
+class LineRateFilter(logging_of_python.Filter):
     """Drops what is too much; warnings and errors have the same budget.
 
     Notes
@@ -62,21 +64,25 @@
         super().__init__()
         # Not the record's time of day: a jump back would take lines out of the budget.
         self._clock = clock
-        self._budget = LineBudget(at_s=clock.monotonic_s())
-        self._told_s = 0.0
+        self._bucket = LineTokenBucket(updated_s=clock.monotonic_s())
+        self._last_logged_s = 0.0
 
     def filter(self, record: logging_of_python.LogRecord) -> bool:
         """Return whether to write a line."""
         now_s = self._clock.monotonic_s()
-        taken = self._budget.take(now_s)
-        if taken and self._budget.dropped and now_s - self._told_s > _TELL_AFTER_S:
-            dropped, self._budget.dropped = self._budget.dropped, 0
-            self._told_s = now_s
+        is_allowed = self._bucket.try_acquire(now_s)
+        if (
+            is_allowed
+            and self._bucket.dropped_lines
+            and now_s - self._last_logged_s > _DROPPED_REPORT_INTERVAL_S
+        ):
+            dropped, self._bucket.dropped_lines = self._bucket.dropped_lines, 0
+            self._last_logged_s = now_s
             emit(Event.LINES_DROPPED, lines=dropped)
-        return taken
+        return is_allowed
 
 
-class LibraryLines(logging_of_python.Filter):
+class LibraryMessageFilter(logging_of_python.Filter):
     """Turns what libraries log into events of one line.
 
     Notes
@@ -90,7 +96,7 @@
         if record.name == _EVENT_LOGGER:
             return True
         error = record.exc_info[1] if record.exc_info else None
-        message = record.getMessage()[:_MOST_MESSAGE_CHARACTERS]
+        message = record.getMessage()[:_MAX_MESSAGE_CHARACTERS]
         emit(Event.LIBRARY_MESSAGE, library=record.name, message=message, error=repr(error))
         return False
 
@@ -122,6 +128,6 @@
     logging.set_verbosity(logging.INFO)
     handler = logging.get_absl_handler()
     handler.python_handler.stream = _NonBlockingOutput()
-    handler.addFilter(LibraryLines())
-    handler.addFilter(BoundedOutput(clock))
+    handler.addFilter(LibraryMessageFilter())
+    handler.addFilter(LineRateFilter(clock))
     logging_of_python.getLogger("asyncio").setLevel(logging_of_python.WARNING)
--- a/mothstand/gateway/member_feed.py
+++ b/mothstand/gateway/member_feed.py
@@ -20,14 +20,14 @@
 
     from ..clock import Clock
     from ..core.retry_budget import RetryBudgetSettings
-    from ..log.health import LogHealth
+    from ..log.health import PlatformHealth
 
 #: The fleet's own topic for announcements.
 MEMBERS_STREAM = Stream("keyed.mothstand-instances")
 
 #: Seconds from the first poll to the second. All instances of a new fleet start within 0.3 s, and
 #: until they know each other, each would claim as if it were alone.
-_SECOND_LOOK_S = 0.6
+_SECOND_POLL_S = 0.6
 
 
 #: Capacity for announcements without these fields.
@@ -105,132 +105,140 @@
     def __init__(
         self,
         store: Store,
-        me: Member,
+        local_member: Member,
         clock: Clock,
-        health: LogHealth,
-        changed: Callable[[], None],
+        health: PlatformHealth,
+        on_change: Callable[[], None],
         retries: RetryBudgetSettings,
         *,
         started_s: float,
     ) -> None:
         super().__init__(store, MEMBERS_STREAM, clock, health)
-        self.fleet = FleetView(me)
-        self.shares = BurstShares(
-            me.peer.instance,
-            me.peer.incarnation,
+        self.fleet = FleetView(local_member)
+        self.burst_shares = BurstShares(
+            local_member.peer.instance,
+            local_member.peer.incarnation,
             span_s=retries.span_s,
             started_s=started_s,
         )
-        self._told_sharers = 0
-        self._changed = changed
-        self._looks = 0
-        self._settled = False
+        self._logged_sharers = 0
+        self._on_change = on_change
+        self._poll_count = 0
+        self._is_settled = False
 
     @property
     def is_settled(self) -> bool:
         """Whether enough announcements have been read to determine the claimants."""
-        return self._settled
+        return self._is_settled
 
     @property
     def pause_s(self) -> float:
         """Seconds between two reads."""
-        return self.fleet.announce_s if self._looks > 1 else _SECOND_LOOK_S
+        return self.fleet.announce_interval_s if self._poll_count > 1 else _SECOND_POLL_S
 
     @property
     def wait_s(self) -> float:
         """Seconds for which the store holds a read until there is a record."""
         return 0.0
 
-    async def look(self) -> None:
+    async def poll(self) -> None:
         """Read once, then announce this instance.
 
         The announcement replaces that of an earlier start, by which a restarted instance knows
         that the whole fleet is listed, so it has to be read first.
         """
-        await super().look()
+        await super().poll()
         await self._announce()
-        self._tell_sharers(self._clock.monotonic_s())
-        self._looks += 1
-        if self._looks > 1 and not self._settled:
-            self._settle()
+        self._log_sharers(self._clock.monotonic_s())
+        self._poll_count += 1
+        if self._poll_count > 1 and not self._is_settled:
+            self._mark_settled()
 
     async def _announce(self) -> None:
         """Announce this instance, and delete the announcements of expired instances."""
         now_s = self._clock.monotonic_s()
         read_to = self._next_offset or 0
-        self.shares.read(read_to, now_s, self.fleet.announce_s)
-        notice = self.shares.notice(self.fleet.announce_s)
-        mine = encode_member(self.fleet.me, notice)
-        retired = tuple(KeyedRecord(name, None) for name in self.shares.silent(now_s))
-        is_ordered = bool(retired) or self.shares.must_follow(now_s)
+        self.burst_shares.note_read(read_to, now_s, self.fleet.announce_interval_s)
+        notice = self.burst_shares.next_notice(self.fleet.announce_interval_s)
+        own_record = encode_member(self.fleet.local_member, notice)
+        expired_records = tuple(
+            KeyedRecord(name, None) for name in self.burst_shares.expired_names(now_s)
+        )
+        is_ordered = bool(expired_records) or self.burst_shares.must_append_after_read(now_s)
         try:
             at_offset = read_to if is_ordered else None
-            await self._store.append(self._stream, (mine, *retired), at_offset=at_offset)
+            await self._store.append(
+                self._stream, (own_record, *expired_records), at_offset=at_offset
+            )
         except StoreConflictError:
             # Another instance appended in the meantime. Deletions, and the notice if it must be
             # ordered, wait for the next announcement.
-            await self._store.append(self._stream, (mine,))
-            if self.shares.must_follow(now_s):
+            await self._store.append(self._stream, (own_record,))
+            if self.burst_shares.must_append_after_read(now_s):
                 return
-        self.shares.announced(notice, now_s)
+        self.burst_shares.note_announced(notice, now_s)
 
-    def _tell_sharers(self, now_s: float) -> None:
-        sharers = self.shares.sharers(now_s)
-        if sharers != self._told_sharers:
-            self._told_sharers = sharers
+    def _log_sharers(self, now_s: float) -> None:
+        sharers = self.burst_shares.sharers(now_s)
+        if sharers != self._logged_sharers:
+            self._logged_sharers = sharers
             emit(Event.BURST_SHARED, sharers=sharers, fleet=self.fleet.size)
 
-    def list(self, records: tuple[KeyedRecord, ...]) -> None:
+    def apply_listing(self, records: tuple[KeyedRecord, ...]) -> None:
         """Apply the newest announcement of each instance."""
-        mine = self.fleet.me.peer
-        self.shares.keep_only({record.key for record in records if record.value is not None})
+        local_peer = self.fleet.local_member.peer
+        self.burst_shares.keep_only({record.key for record in records if record.value is not None})
         self.apply(records)
-        if self._looks == 0 and any(r.key == mine.instance for r in records):
+        if self._poll_count == 0 and any(r.key == local_peer.instance for r in records):
             # An earlier start of this instance announced itself, so the whole fleet is listed.
-            self._settle()
+            self._mark_settled()
 
     def apply(self, records: tuple[KeyedRecord, ...]) -> None:
         """Apply later announcements, in order."""
         now_s = self._clock.monotonic_s()
-        before = self.fleet.size
+        size_before = self.fleet.size
         for record in records:
-            announced = self._take(record, now_s)
+            announcement = self._apply_record(record, now_s)
             if record.value is None:
-                self.shares.retire(record.key)
-            if announced is not None:
-                incarnation = announced.member.peer.incarnation
-                notice = announced.notice
-                self.shares.note(record.key, incarnation, notice, record.offset, now_s)
-        for instance in self.fleet.read(now_s):
+                self.burst_shares.retire(record.key)
+            if announcement is not None:
+                incarnation = announcement.member.peer.incarnation
+                notice = announcement.notice
+                self.burst_shares.apply_announcement(
+                    record.key, incarnation, notice, record.offset, now_s
+                )
+        for instance in self.fleet.expire_members(now_s):
             emit(Event.MEMBER_GONE, instance=instance)
-        if self.fleet.size != before:
-            self._changed()
+        if self.fleet.size != size_before:
+            self._on_change()
 
-    def offer(self, records: tuple[KeyedRecord, ...]) -> None:
+    def apply_second_hand(self, records: tuple[KeyedRecord, ...]) -> None:
         """Apply a peer's announcements if the store has not been read yet; see `is_listed`."""
         if not self.is_listed:
             for record in records:
-                self._take(record, self._clock.monotonic_s())
-        self._settle()
+                self._apply_record(record, self._clock.monotonic_s())
+        self._mark_settled()
 
-    def known(self) -> tuple[KeyedRecord, ...]:
+    def known_records(self) -> tuple[KeyedRecord, ...]:
         """Return the announcements of all known instances, this one included."""
-        return tuple(encode_member(m) for m in (*self.fleet.others(), self.fleet.me))
+        return tuple(
+            encode_member(m) for m in (*self.fleet.other_members(), self.fleet.local_member)
+        )
 
-    def _take(self, record: KeyedRecord, now_s: float) -> Announcement | None:
+    def _apply_record(self, record: KeyedRecord, now_s: float) -> Announcement | None:
         if record.value is None:
             return None
         try:
-            announced = decode_member(record)
+            announcement = decode_member(record)
         except ValueError as error:
             emit(Event.RECORD_SKIPPED, key=record.key, offset=record.offset, error=str(error))
             return None
-        if not self.fleet.knows(record.key):
-            address = announced.member.peer.address
+        if not self.fleet.has_announced(record.key):
+            address = announcement.member.peer.address
             emit(Event.MEMBER_SEEN, instance=record.key, address=address)
-        self.fleet.note(announced.member, now_s)
-        return announced
+        self.fleet.apply_announcement(announcement.member, now_s)
+        return announcement
 
-    def _settle(self) -> None:
-        self._settled = True
-        self._changed()
+    def _mark_settled(self) -> None:
+        self._is_settled = True
+        self._on_change()
--- a/mothstand/gateway/metrics.py
+++ b/mothstand/gateway/metrics.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from ..histograms import lines_of, new_histogram, record_s
+from ..histograms import metric_lines, new_histogram, record_s
 
 if TYPE_CHECKING:
     from hdrh.histogram import HdrHistogram
@@ -29,7 +29,7 @@
         """Record how long a reservation took."""
         record_s(self.reserve_us, elapsed_s)
 
-    def record_whole(self, elapsed_s: float) -> None:
+    def record_complete(self, elapsed_s: float) -> None:
         """Record the time from a request's arrival to its end."""
         record_s(self.whole_us, elapsed_s)
 
@@ -37,5 +37,5 @@
         """Return all figures as lines of name and value."""
         lines = [f"mothstand_{name} {value}" for name, value in sorted(self.counts.items())]
         for name in ("reserve_us", "first_event_us", "whole_us"):
-            lines += lines_of(name, getattr(self, name))
+            lines += metric_lines(name, getattr(self, name))
         return "\n".join(lines) + "\n"
--- a/mothstand/gateway/program.py
+++ b/mothstand/gateway/program.py
@@ -14,7 +14,7 @@
 from .log_output import set_up_events
 
 
-def run_gateway(path: str, started: ProcessStart | None = None) -> None:
+def run_gateway(path: str, process_start: ProcessStart | None = None) -> None:
     """Run one gateway instance until SIGTERM.
 
     Parameters
@@ -32,11 +32,11 @@
     settings = read_gateway_settings(Path(path))
     clock = SystemClock()
     set_up_events(clock)
-    begun = started or ProcessStart(clock.monotonic_s())
+    start = process_start or ProcessStart(clock.monotonic_s())
 
     async def run() -> None:
         # Connection pools belong to the running loop.
         parts = platform_parts(settings)
-        await GatewayInstance(settings, parts, clock, begun).run()
+        await GatewayInstance(settings, parts, clock, start).run()
 
     anyio.run(run, backend_options={"use_uvloop": True})
--- a/mothstand/gateway/quarantine_feed.py
+++ b/mothstand/gateway/quarantine_feed.py
@@ -8,20 +8,20 @@
 
 import anyio
 
-from ..core.quarantine import MOST_ENDS, Quarantine, UpstreamEnd
+from ..core.quarantine import CRASH_THRESHOLD, Quarantine, UpstreamCrash
 from ..events import Event, emit
 from .feeds import KeyedFeed
 from .quarantine_outbox import QuarantineOutbox
 from .quarantine_records import (
-    age_of,
-    decode_end,
-    encode_end,
-    encode_trial,
-    end_key,
-    is_trial_key,
-    new_trial,
-    trial_key,
-    trial_of_key,
+    crash_key,
+    decode_crash,
+    encode_crash,
+    encode_probe,
+    is_probe_key,
+    new_probe,
+    probe_key,
+    probe_of_key,
+    record_age,
 )
 from .store import KeyedRecord, Store, StoreConflictError, StoreError, Stream
 
@@ -29,43 +29,43 @@
     from collections.abc import Callable, Iterable, Sequence
 
     from ..clock import Clock
-    from ..core.quarantine import ForgottenRequest, Trial
+    from ..core.quarantine import ForgottenRequest, Probe
     from ..core.request_digest import RequestDigest
     from ..core.upstreams import RegisteredUpstream
-    from ..log.health import LogHealth
-    from .end_watch import BrokenAttempt
+    from ..log.health import PlatformHealth
+    from .crash_detector import BrokenAttempt
     from .lending import PeerLink
 
 #: The fleet's own topic for ends of upstreams under requests.
 QUARANTINE_STREAM = Stream("keyed.mothstand-quarantine")
 
 #: Seconds that a read waits for news: below the time within which all instances must know.
-_WAIT_S = 1.0
+_READ_WAIT_S = 1.0
 
 #: Pause after each read, in which the ends that many instances tell of one upstream gather. It
 #: grows with the fleet, so that all reads together stay below `_MOST_READS_PER_S`.
-_GATHER_S = 0.05
-_MOST_READS_PER_S = 500.0
+_MIN_READ_PAUSE_S = 0.05
+_MAX_READS_PER_S = 500.0
 
-_BACKOFF_MOST_S = 0.2
+_BACKOFF_MAX_S = 0.2
 
 #: Who told of an end: this instance itself, or a list of all ends, old ones among them.
-_OWN = "own"
-_LISTING = "listing"
+_SOURCE_OWN = "own"
+_SOURCE_LISTING = "listing"
 
 #: Seconds between two looks for what is too old.
-_FORGET_LOOK_S = 10.0
+_EXPIRY_CHECK_INTERVAL_S = 10.0
 
 #: What is forgotten is dropped from the store at a random time within this span, so that one
 #: instance does it for all others.
-_DROP_WITHIN_S = 600.0
+_MAX_DROP_DELAY_S = 600.0
 
 
 @dataclass(frozen=True, slots=True)
-class _KnownEnd:
+class _KnownCrash:
     """An end, and the record that tells of it."""
 
-    end: UpstreamEnd
+    crash: UpstreamCrash
     record: KeyedRecord
 
 
@@ -82,14 +82,14 @@
         How many instances read the stream.
     """
 
-    backoff_most_s = _BACKOFF_MOST_S
+    backoff_max_s = _BACKOFF_MAX_S
     outbox_type = QuarantineOutbox
 
     def __init__(
         self,
         store: Store,
         clock: Clock,
-        health: LogHealth,
+        health: PlatformHealth,
         instance: str,
         link: PeerLink,
         peers: Callable[[], Sequence[str]],
@@ -100,196 +100,198 @@
         self._instance = instance
         self._outbox = self.outbox_type(store, QUARANTINE_STREAM, clock, health, link, peers)
         self._fleet_size = fleet_size
-        self._known: dict[str, _KnownEnd] = {}
+        self._known_crashes: dict[str, _KnownCrash] = {}
 
     @property
     def pause_s(self) -> float:
         """Seconds between two reads."""
-        return max(_GATHER_S, self._fleet_size() / _MOST_READS_PER_S)
+        return max(_MIN_READ_PAUSE_S, self._fleet_size() / _MAX_READS_PER_S)
 
     @property
     def wait_s(self) -> float:
         """Seconds that a read waits at the store for a record."""
-        return _WAIT_S
+        return _READ_WAIT_S
 
     async def run(self) -> None:
         """Follow the stream, and append to it, until cancelled."""
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._outbox.run)
-            tasks.start_soon(self._forget_old)
+            tasks.start_soon(self._forget_expired)
             await super().run()
 
     def report(self, upstream: RegisteredUpstream, attempt: BrokenAttempt) -> None:
         """Tell that an upstream has ended under a request of this instance."""
-        known_ends = min(attempt.known_ends, len(self.quarantine.ends(attempt.digest)))
-        end = UpstreamEnd(
-            attempt.digest, upstream.key, attempt.request_id, self._instance, known_ends
+        known_crashes = min(attempt.known_crashes, len(self.quarantine.crashes(attempt.digest)))
+        crash = UpstreamCrash(
+            attempt.digest, upstream.key, attempt.request_id, self._instance, known_crashes
         )
-        record = encode_end(end, self._clock.now())
-        if self._add(end, record, source=_OWN):
-            self._outbox.put(record)
+        record = encode_crash(crash, self._clock.now())
+        if self._add_crash(crash, record, source=_SOURCE_OWN):
+            self._outbox.enqueue(record)
 
     def clear(self, digest: RequestDigest) -> None:
         """Tell that a request had a whole answer: it does not end upstreams."""
-        ends = self.quarantine.ends(digest)
-        if not ends:
+        crashes = self.quarantine.crashes(digest)
+        if not crashes:
             return
-        emit(Event.QUARANTINE_CLEARED, digest=digest, ends=len(ends), reason="answered")
-        trials = self.quarantine.trials(digest)
+        emit(Event.QUARANTINE_CLEARED, digest=digest, ends=len(crashes), reason="answered")
+        probes = self.quarantine.probes(digest)
         self.quarantine.clear(digest)
-        self._drop_records(ends, trials)
+        self._drop_records(crashes, probes)
 
-    async def claim_trial(self, digest: RequestDigest) -> Trial | None:
+    async def claim_probe(self, digest: RequestDigest) -> Probe | None:
         """Return a trial that this instance may make, or None.
 
         The store decides: of all instances that ask at once, its condition lets one append.
         """
-        if not self.quarantine.is_trial_due(digest, self._clock.monotonic_s()):
+        if not self.quarantine.is_probe_due(digest, self._clock.monotonic_s()):
             return None
         if self._next_offset is None or self._health.is_failing:
             return None
-        trial = new_trial(digest)
-        record = encode_trial(trial, self._instance, self._clock.now())
+        probe = new_probe(digest)
+        record = encode_probe(probe, self._instance, self._clock.now())
         try:
             await self._store.append(self._stream, (record,), at_offset=self._next_offset)
         except StoreConflictError:
             return None
         except StoreError as error:
-            self._health.failed(error)
+            self._health.note_failure(error)
             # It may stand in the store, where it would count as made.
-            self.return_trial(trial)
+            self.return_probe(probe)
             return None
-        self.quarantine.add_trial(trial, self._clock.monotonic_s())
-        emit(Event.QUARANTINE_TRIAL, digest=digest, claim=trial.claim)
-        return trial
+        self.quarantine.add_probe(probe, self._clock.monotonic_s())
+        emit(Event.QUARANTINE_TRIAL, digest=digest, claim=probe.claim_id)
+        return probe
 
-    def return_trial(self, trial: Trial) -> None:
+    def return_probe(self, probe: Probe) -> None:
         """Give a trial back that reached no upstream."""
-        self.quarantine.drop_trial(trial)
-        self._outbox.put(KeyedRecord(trial_key(trial), None))
+        self.quarantine.drop_probe(probe)
+        self._outbox.enqueue(KeyedRecord(probe_key(probe), None))
 
-    def list(self, records: tuple[KeyedRecord, ...]) -> None:
+    def apply_listing(self, records: tuple[KeyedRecord, ...]) -> None:
         """Take all that is known in place of what was read one by one."""
         listed = {record.key for record in records}
-        for key in list(self._known):
+        for key in list(self._known_crashes):
             if key not in listed and key not in self._outbox:
-                self._drop_end(key)
-        for trial in self.quarantine.all_trials():
-            if trial_key(trial) not in listed:
-                self.quarantine.drop_trial(trial)
+                self._drop_crash(key)
+        for probe in self.quarantine.all_probes():
+            if probe_key(probe) not in listed:
+                self.quarantine.drop_probe(probe)
         # Ends before trials: a trial belongs to a request that is known.
-        for record in sorted(records, key=lambda record: is_trial_key(record.key)):
-            self._take(record, source=_LISTING)
+        for record in sorted(records, key=lambda record: is_probe_key(record.key)):
+            self._apply_record(record, source=_SOURCE_LISTING)
 
     def apply(self, records: tuple[KeyedRecord, ...]) -> None:
         """Take later records, in order."""
         for record in records:
-            self._outbox.stored(record)
-            self._take(record, source="store")
+            self._outbox.note_stored(record)
+            self._apply_record(record, source="store")
 
-    def take_from_peer(self, records: Iterable[KeyedRecord]) -> None:
+    def apply_from_peer(self, records: Iterable[KeyedRecord]) -> None:
         """Take what a peer could not append, and append it in its stead."""
         for record in records:
-            if self._take(record, source="peer"):
-                self._outbox.put(record, relays=False)
+            if self._apply_record(record, source="peer"):
+                self._outbox.enqueue(record, is_relayed=False)
 
-    def known(self) -> tuple[KeyedRecord, ...]:
+    def known_records(self) -> tuple[KeyedRecord, ...]:
         """Return all ends that are known, for an instance that starts while the store is out."""
-        return tuple(self._known[end_key(end)].record for end in self.quarantine.all_ends())
+        return tuple(
+            self._known_crashes[crash_key(end)].record for end in self.quarantine.all_crashes()
+        )
 
-    def offer(self, records: Iterable[KeyedRecord]) -> None:
+    def apply_second_hand(self, records: Iterable[KeyedRecord]) -> None:
         """Take ends that a peer knows, until the store's own word replaces them."""
         if not self.is_listed:
             for record in records:
-                self._take(record, source=_LISTING)
+                self._apply_record(record, source=_SOURCE_LISTING)
 
-    def _take(self, record: KeyedRecord, *, source: str) -> bool:
+    def _apply_record(self, record: KeyedRecord, *, source: str) -> bool:
         """Take a record, and return whether it told anything new."""
         try:
-            if is_trial_key(record.key):
-                return self._take_trial(record, source=source)
+            if is_probe_key(record.key):
+                return self._apply_probe(record, source=source)
             if record.value is None:
-                return self._drop_end(record.key)
-            return self._add(decode_end(record), record, source=source)
+                return self._drop_crash(record.key)
+            return self._add_crash(decode_crash(record), record, source=source)
         except ValueError as error:
             emit(Event.RECORD_SKIPPED, key=record.key, offset=record.offset, error=str(error))
             return False
 
-    def _take_trial(self, record: KeyedRecord, *, source: str) -> bool:
+    def _apply_probe(self, record: KeyedRecord, *, source: str) -> bool:
         """Take a trial, and return whether it was given back."""
-        trial = trial_of_key(record.key)
+        probe = probe_of_key(record.key)
         if record.value is None:
-            self.quarantine.drop_trial(trial)
+            self.quarantine.drop_probe(probe)
             return True
         now_s = self._clock.monotonic_s()
-        self.quarantine.add_trial(trial, now_s, age_s=self._age_s(record, source))
+        self.quarantine.add_probe(probe, now_s, age_s=self._age_s(record, source))
         return False
 
-    def _drop_end(self, key: str) -> bool:
+    def _drop_crash(self, key: str) -> bool:
         """Drop an end whose key was dropped, and return whether it was known."""
-        known = self._known.pop(key, None)
+        known = self._known_crashes.pop(key, None)
         if known is not None:
-            self.quarantine.drop_end(known.end.digest, known.end.upstream)
+            self.quarantine.drop_crash(known.crash.digest, known.crash.upstream)
         return known is not None
 
     def _age_s(self, record: KeyedRecord, source: str) -> float:
         """Return how long ago something was. News is new, whatever its writer's clock says."""
-        if source != _LISTING:
+        if source != _SOURCE_LISTING:
             return 0.0
-        return age_of(record, self._clock.now()).total_seconds()
+        return record_age(record, self._clock.now()).total_seconds()
 
-    def _add(self, end: UpstreamEnd, record: KeyedRecord, *, source: str) -> bool:
+    def _add_crash(self, crash: UpstreamCrash, record: KeyedRecord, *, source: str) -> bool:
         now_s = self._clock.monotonic_s()
-        if not self.quarantine.add_end(end, now_s, age_s=self._age_s(record, source)):
+        if not self.quarantine.add_crash(crash, now_s, age_s=self._age_s(record, source)):
             return False
-        self._known[end_key(end)] = _KnownEnd(end, record)
-        ends = self.quarantine.ends(end.digest)
+        self._known_crashes[crash_key(crash)] = _KnownCrash(crash, record)
+        crashes = self.quarantine.crashes(crash.digest)
         # First ends that others tell would be a line at each instance for each request that broke.
-        if source == _OWN or len(ends) > 1:
+        if source == _SOURCE_OWN or len(crashes) > 1:
             emit(
                 Event.END_NOTED,
-                digest=end.digest,
-                upstream=end.upstream.upstream_id,
-                request=end.request_id,
-                instance=end.instance,
-                known_ends=end.known_ends,
-                ends=len(ends),
+                digest=crash.digest,
+                upstream=crash.upstream.upstream_id,
+                request=crash.request_id,
+                instance=crash.instance,
+                known_ends=crash.known_crashes,
+                ends=len(crashes),
                 source=source,
             )
-        if len(ends) == MOST_ENDS:
-            upstreams = [known.upstream.upstream_id for known in ends]
-            emit(Event.QUARANTINE_BEGAN, digest=end.digest, upstreams=upstreams)
+        if len(crashes) == CRASH_THRESHOLD:
+            upstreams = [known.upstream.upstream_id for known in crashes]
+            emit(Event.QUARANTINE_BEGAN, digest=crash.digest, upstreams=upstreams)
         return True
 
-    async def _forget_old(self) -> None:
+    async def _forget_expired(self) -> None:
         """Forget what is too old, here and a random time later in the store."""
         async with anyio.create_task_group() as tasks:
             while True:
-                await self._clock.sleep(_FORGET_LOOK_S)
-                requests = self.quarantine.forget_old(self._clock.monotonic_s())
+                await self._clock.sleep(_EXPIRY_CHECK_INTERVAL_S)
+                requests = self.quarantine.forget_expired(self._clock.monotonic_s())
                 if requests:
-                    ends = sum(len(request.ends) for request in requests)
-                    emit(Event.QUARANTINE_CLEARED, ends=ends, reason="too old or too many")
-                    tasks.start_soon(self._drop, requests)
+                    crashes = sum(len(request.crashes) for request in requests)
+                    emit(Event.QUARANTINE_CLEARED, ends=crashes, reason="too old or too many")
+                    tasks.start_soon(self._drop_forgotten, requests)
 
-    async def _drop(self, requests: Sequence[ForgottenRequest]) -> None:
+    async def _drop_forgotten(self, requests: Sequence[ForgottenRequest]) -> None:
         """Drop what was forgotten from the store, unless another instance has done it by then."""
-        await self._clock.sleep(random.uniform(0.0, _DROP_WITHIN_S))
+        await self._clock.sleep(random.uniform(0.0, _MAX_DROP_DELAY_S))
         for request in requests:
-            kept = [end for end in request.ends if self._is_known(end)]
-            if kept:
-                self._drop_records(kept, request.trials, relays=False)
+            crashes = [end for end in request.crashes if self._is_known(end)]
+            if crashes:
+                self._drop_records(crashes, request.probes, is_relayed=False)
 
-    def _is_known(self, end: UpstreamEnd) -> bool:
-        known = self._known.get(end_key(end))
-        return known is not None and known.end is end
+    def _is_known(self, crash: UpstreamCrash) -> bool:
+        known = self._known_crashes.get(crash_key(crash))
+        return known is not None and known.crash is crash
 
     def _drop_records(
-        self, ends: Iterable[UpstreamEnd], trials: Iterable[Trial], *, relays: bool = True
+        self, crashes: Iterable[UpstreamCrash], probes: Iterable[Probe], *, is_relayed: bool = True
     ) -> None:
         """Drop what is known of a request from the store, trials before the ends they follow."""
-        keys = [trial_key(trial) for trial in trials]
-        keys += [end_key(end) for end in ends]
+        keys = [probe_key(trial) for trial in probes]
+        keys += [crash_key(end) for end in crashes]
         for key in keys:
-            self._known.pop(key, None)
-            self._outbox.put(KeyedRecord(key, None), relays=relays)
+            self._known_crashes.pop(key, None)
+            self._outbox.enqueue(KeyedRecord(key, None), is_relayed=is_relayed)
--- a/mothstand/gateway/quarantine_outbox.py
+++ b/mothstand/gateway/quarantine_outbox.py
@@ -16,18 +16,18 @@
     from collections.abc import Callable, Sequence
 
     from ..clock import Clock
-    from ..log.health import LogHealth
+    from ..log.health import PlatformHealth
     from .lending import PeerLink
 
 _BACKOFF_FIRST_S = 0.1
-_BACKOFF_MOST_S = 0.2
+_BACKOFF_MAX_S = 0.2
 
 #: Records that are appended at once, and that wait for it at most.
-_MOST_APPENDED = 200
-_MOST_WAITING = 2000
+_MAX_BATCH_RECORDS = 200
+_MAX_WAITING_RECORDS = 2000
 
 #: Peers that are told what the store does not take from here, and append it in its stead.
-_RELAYS = 3
+_RELAY_PEERS = 3
 
 
 class QuarantineOutbox:
@@ -44,7 +44,7 @@
         store: Store,
         stream: Stream,
         clock: Clock,
-        health: LogHealth,
+        health: PlatformHealth,
         link: PeerLink,
         peers: Callable[[], Sequence[str]],
     ) -> None:
@@ -69,7 +69,7 @@
             tasks.start_soon(self._append_waiting)
             tasks.start_soon(self._relay_unstored)
 
-    def put(self, record: KeyedRecord, *, relays: bool = True) -> None:
+    def enqueue(self, record: KeyedRecord, *, is_relayed: bool = True) -> None:
         """Let a record wait; the latest word on a key counts, and goes behind all others.
 
         Parameters
@@ -79,15 +79,15 @@
         """
         self._waiting.pop(record.key, None)
         self._waiting[record.key] = record
-        if relays:
+        if is_relayed:
             self._unrelayed[record.key] = record
-        if len(self._waiting) > _MOST_WAITING:
+        if len(self._waiting) > _MAX_WAITING_RECORDS:
             oldest = next(iter(self._waiting))
             self._remove(oldest)
-            emit(Event.END_DROPPED, key=oldest, waiting=_MOST_WAITING)
+            emit(Event.END_DROPPED, key=oldest, waiting=_MAX_WAITING_RECORDS)
         self._has_work.set()
 
-    def stored(self, record: KeyedRecord) -> None:
+    def note_stored(self, record: KeyedRecord) -> None:
         """Note a record of the store, which may say the same as one that waits."""
         waiting = self._waiting.get(record.key)
         if waiting is not None and (waiting.value is None) == (record.value is None):
@@ -98,20 +98,20 @@
         self._unrelayed.pop(key, None)
 
     async def _append_waiting(self) -> None:
-        backoff = Backoff(_BACKOFF_FIRST_S, _BACKOFF_MOST_S)
+        backoff = Backoff(_BACKOFF_FIRST_S, _BACKOFF_MAX_S)
         while True:
             await self._has_work.wait()
             self._has_work = anyio.Event()
             while self._waiting:
-                batch = tuple(self._waiting.values())[:_MOST_APPENDED]
+                batch = tuple(self._waiting.values())[:_MAX_BATCH_RECORDS]
                 if self._health.is_failing:
                     self._has_unstored.set()
                 try:
                     await self._store.append(self._stream, batch)
                 except StoreError as error:
-                    self._health.failed(error)
+                    self._health.note_failure(error)
                     self._has_unstored.set()
-                    await self._clock.sleep(backoff.jittered_s())
+                    await self._clock.sleep(backoff.next_jittered_s())
                     continue
                 backoff.reset()
                 for record in batch:
@@ -127,18 +127,18 @@
 
     async def _relay(self) -> None:
         """Tell some peers what the store has not taken, once."""
-        records = tuple(self._unrelayed.values())[:_MOST_APPENDED]
+        records = tuple(self._unrelayed.values())[:_MAX_BATCH_RECORDS]
         if not records:
             return
         for record in records:
             del self._unrelayed[record.key]
         peers = self._peers()
         async with anyio.create_task_group() as tasks:
-            for address in random.sample(peers, min(_RELAYS, len(peers))):
-                tasks.start_soon(self._tell, address, records)
+            for address in random.sample(peers, min(_RELAY_PEERS, len(peers))):
+                tasks.start_soon(self._send, address, records)
 
-    async def _tell(self, address: str, records: tuple[KeyedRecord, ...]) -> None:
+    async def _send(self, address: str, records: tuple[KeyedRecord, ...]) -> None:
         try:
-            await self._link.tell_ends(address, records)
+            await self._link.send_quarantine_records(address, records)
         except PeerError as error:
             emit(Event.PEER_SUSPECTED, peer=address, error=str(error))
--- a/mothstand/gateway/quarantine_records.py
+++ b/mothstand/gateway/quarantine_records.py
@@ -9,15 +9,15 @@
 import xxhash
 from pydantic import BaseModel
 
-from ..core.quarantine import Trial, UpstreamEnd
+from ..core.quarantine import Probe, UpstreamCrash
 from ..core.request_digest import RequestDigest
 from ..core.upstreams import UpstreamKey
 from .store import KeyedRecord
 
-_TRIAL = "trial"
+_PROBE_KEY_PREFIX = "trial"
 
 _CLAIM_BYTES = 8
-_CLAIM = re.compile("[0-9a-f]{16}")
+_CLAIM_PATTERN = re.compile("[0-9a-f]{16}")
 
 
 class _DatedValue(BaseModel):
@@ -26,7 +26,7 @@
     at_ms: int
 
 
-class _EndValue(_DatedValue):
+class _CrashValue(_DatedValue):
     """The end of an upstream under a request; the key begins with the request's digest."""
 
     upstream: str
@@ -36,35 +36,35 @@
     known_ends: int
 
 
-class _TrialValue(_DatedValue):
+class _ProbeValue(_DatedValue):
     """One more attempt of a quarantined request; the key ends with its claim."""
 
     instance: str
 
 
-def new_trial(digest: RequestDigest) -> Trial:
+def new_probe(digest: RequestDigest) -> Probe:
     """Return a trial that nobody has claimed yet."""
-    return Trial(digest, random.randbytes(_CLAIM_BYTES).hex())
+    return Probe(digest, random.randbytes(_CLAIM_BYTES).hex())
 
 
-def end_key(end: UpstreamEnd) -> str:
+def crash_key(crash: UpstreamCrash) -> str:
     """Return a key of limited length, the same from all instances that tell of an end."""
-    upstream = end.upstream
+    upstream = crash.upstream
     hashed = xxhash.xxh3_64_hexdigest(f"{upstream.upstream_id} {upstream.born_ms}".encode())
-    return f"{end.digest}/end-{hashed}"
+    return f"{crash.digest}/end-{hashed}"
 
 
-def trial_key(trial: Trial) -> str:
+def probe_key(probe: Probe) -> str:
     """Return the key of a trial."""
-    return f"{trial.digest}/{_TRIAL}-{trial.claim}"
+    return f"{probe.digest}/{_PROBE_KEY_PREFIX}-{probe.claim_id}"
 
 
-def is_trial_key(key: str) -> bool:
+def is_probe_key(key: str) -> bool:
     """Return whether a key is that of a trial."""
-    return f"/{_TRIAL}-" in key
+    return f"/{_PROBE_KEY_PREFIX}-" in key
 
 
-def trial_of_key(key: str) -> Trial:
+def probe_of_key(key: str) -> Probe:
     """Return the trial that a key names.
 
     Raises
@@ -72,32 +72,32 @@
     ValueError
         If the key names none.
     """
-    digest, _, claim = key.partition(f"/{_TRIAL}-")
-    if not _CLAIM.fullmatch(claim):
+    digest, _, claim = key.partition(f"/{_PROBE_KEY_PREFIX}-")
+    if not _CLAIM_PATTERN.fullmatch(claim):
         raise ValueError(f"a trial's key ends with its claim, but this is {claim!r}")
-    return Trial(RequestDigest(digest), claim)
+    return Probe(RequestDigest(digest), claim)
 
 
-def encode_end(end: UpstreamEnd, at: datetime) -> KeyedRecord:
+def encode_crash(crash: UpstreamCrash, at: datetime) -> KeyedRecord:
     """Return the end of an upstream under a request as a record."""
-    value = _EndValue(
+    value = _CrashValue(
         at_ms=_to_ms(at),
-        upstream=end.upstream.upstream_id,
-        born_ms=end.upstream.born_ms,
-        request=end.request_id,
-        instance=end.instance,
-        known_ends=end.known_ends,
+        upstream=crash.upstream.upstream_id,
+        born_ms=crash.upstream.born_ms,
+        request=crash.request_id,
+        instance=crash.instance,
+        known_ends=crash.known_crashes,
     )
-    return KeyedRecord(end_key(end), value.model_dump_json().encode())
+    return KeyedRecord(crash_key(crash), value.model_dump_json().encode())
 
 
-def encode_trial(trial: Trial, instance: str, at: datetime) -> KeyedRecord:
+def encode_probe(probe: Probe, instance: str, at: datetime) -> KeyedRecord:
     """Return a trial that an instance makes as a record."""
-    value = _TrialValue(instance=instance, at_ms=_to_ms(at))
-    return KeyedRecord(trial_key(trial), value.model_dump_json().encode())
+    value = _ProbeValue(instance=instance, at_ms=_to_ms(at))
+    return KeyedRecord(probe_key(probe), value.model_dump_json().encode())
 
 
-def decode_end(record: KeyedRecord) -> UpstreamEnd:
+def decode_crash(record: KeyedRecord) -> UpstreamCrash:
     """Return the end that a record tells of.
 
     Raises
@@ -105,8 +105,8 @@
     ValueError
         If it cannot be read.
     """
-    value = _EndValue.model_validate_json(record.value or b"")
-    return UpstreamEnd(
+    value = _CrashValue.model_validate_json(record.value or b"")
+    return UpstreamCrash(
         RequestDigest(record.key.partition("/")[0]),
         UpstreamKey(value.upstream, value.born_ms),
         value.request,
@@ -115,7 +115,7 @@
     )
 
 
-def age_of(record: KeyedRecord, now: datetime) -> timedelta:
+def record_age(record: KeyedRecord, now: datetime) -> timedelta:
     """Return how long ago an end or a trial was, by the clocks of its writer and of this machine.
 
     Raises
--- a/mothstand/gateway/server.py
+++ b/mothstand/gateway/server.py
@@ -12,7 +12,7 @@
 from aiohttp import web
 from multidict import CIMultiDict
 
-from ..core.shutdown import STOPPING_COME_BACK_S
+from ..core.shutdown import STOPPING_RETRY_AFTER_S
 from ..errors import ErrorKind, Refusal, RefusedError
 from ..events import Event, emit
 from ..types import BudgetName
@@ -32,17 +32,17 @@
     from .forward import Forwarder
     from .headers import CallerFields, HeaderTranslator, RawHeaders
     from .metrics import GatewayMetrics
-    from .start_wait import StartWait
+    from .startup_wait import StartupWait
 
 #: Larger heads than any operator's limit are refused by the server library with a 400.
-_MOST_HEAD_BYTES = 65_536
+_MAX_HEAD_BYTES = 65_536
 
 #: How long an idle connection is kept that began before there was a configuration to say so.
-_FIRST_IDLE_TIMEOUT_S = 75.0
+_INITIAL_IDLE_TIMEOUT_S = 75.0
 
 
 #: Calls that a line tells of a fault.
-_MOST_FRAMES = 6
+_MAX_FRAMES = 6
 
 
 class HttpCaller(CallerConnection):
@@ -55,20 +55,20 @@
 
     async def start(self, status: int, reason: str, headers: RawHeaders) -> None:
         """Send the head of a streamed answer."""
-        self.started = True
+        self.is_started = True
         response = web.StreamResponse(status=status, reason=reason, headers=CIMultiDict(headers))
         await self._prepare(response)
 
     async def write(self, data: bytes) -> None:
         """Send a piece of a streamed answer."""
         assert self.response is not None
-        with _caller_is_there():
+        with _translate_disconnect():
             await self.response.write(data)
 
     async def finish(self) -> None:
         """End a streamed answer as complete."""
         assert self.response is not None
-        with _caller_is_there():
+        with _translate_disconnect():
             await self.response.write_eof()
 
     def abort(self) -> None:
@@ -76,26 +76,28 @@
         if self._request.transport is not None:
             self._request.transport.close()
 
-    async def send_whole(self, status: int, reason: str, headers: RawHeaders, body: bytes) -> None:
+    async def send_complete(
+        self, status: int, reason: str, headers: RawHeaders, body: bytes
+    ) -> None:
         """Send an answer in one piece."""
-        self.started = True
+        self.is_started = True
         response = web.Response(
             status=status, reason=reason, headers=CIMultiDict(headers), body=body
         )
         await self._prepare(response)
-        with _caller_is_there():
+        with _translate_disconnect():
             await response.write_eof()
 
     async def _prepare(self, response: web.StreamResponse) -> None:
         if self._shutdown.is_stopping:
             response.force_close()
         self.response = response
-        with _caller_is_there():
+        with _translate_disconnect():
             await response.prepare(self._request)
 
 
 @contextmanager
-def _caller_is_there() -> Iterator[None]:
+def _translate_disconnect() -> Iterator[None]:
     """Turn the library's error of a closed connection into `CallerGoneError`."""
     try:
         yield
@@ -126,10 +128,10 @@
         clock: Clock,
         metrics: GatewayMetrics,
         shutdown: Shutdown,
-        start: StartWait,
+        startup_wait: StartupWait,
     ) -> None:
-        self.running = 0
-        self._start = start
+        self.running_requests = 0
+        self._startup_wait = startup_wait
         self._config = config
         self._translator = translator
         self._accounts = accounts
@@ -139,15 +141,15 @@
         self._metrics = metrics
         self._shutdown = shutdown
 
-    def make(self) -> web.Server:
+    def make_server(self) -> web.Server:
         """Return the server to listen with."""
         return CallerServer(
             self._handle,
             self._limits,
-            first_idle_timeout_s=_FIRST_IDLE_TIMEOUT_S,
+            initial_idle_timeout_s=_INITIAL_IDLE_TIMEOUT_S,
             handler_cancellation=True,
-            max_line_size=_MOST_HEAD_BYTES,
-            max_field_size=_MOST_HEAD_BYTES,
+            max_line_size=_MAX_HEAD_BYTES,
+            max_field_size=_MAX_HEAD_BYTES,
             access_log=None,
         )
 
@@ -156,7 +158,7 @@
         return None if config is None else config.limits
 
     async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        self.running += 1
+        self.running_requests += 1
         arrived_s = self._clock.monotonic_s()
         caller = HttpCaller(request, self._shutdown)
         request_id = ""
@@ -171,14 +173,14 @@
             # Its request's line tells that it left; the library ends the connection.
             self._metrics.counts["callers_gone"] += 1
         except Exception as error:
-            await self._fail(caller, request_id, error, arrived_s)
+            await self._answer_internal_error(caller, request_id, error, arrived_s)
         finally:
-            self.running -= 1
-            self._metrics.record_whole(self._clock.monotonic_s() - arrived_s)
+            self.running_requests -= 1
+            self._metrics.record_complete(self._clock.monotonic_s() - arrived_s)
         assert caller.response is not None
         return caller.response
 
-    async def _fail(
+    async def _answer_internal_error(
         self, caller: HttpCaller, request_id: str, error: Exception, arrived_s: float
     ) -> None:
         """Answer a request that hit a fault of this program, with one line of log.
@@ -190,10 +192,10 @@
             Event.INTERNAL_ERROR,
             request=request_id,
             error=repr(error),
-            at=_place_of(error),
-            is_answer_begun=caller.started,
+            at=_innermost_calls(error),
+            is_answer_begun=caller.is_started,
         )
-        if caller.started:
+        if caller.is_started:
             caller.abort()
         else:
             await self._refuse(caller, request_id, Refusal(ErrorKind.INTERNAL), arrived_s)
@@ -212,12 +214,12 @@
         caller: HttpCaller,
         arrived_s: float,
     ) -> None:
-        await self._start.wait()
+        await self._startup_wait.wait()
         config = self._config()
         if config is None:
             raise RefusedError(Refusal(ErrorKind.NOT_READY))
-        if self._shutdown.refuses(arrived_s):
-            raise RefusedError(Refusal(ErrorKind.STOPPING, retry_after_s=STOPPING_COME_BACK_S))
+        if self._shutdown.refuses_requests(arrived_s):
+            raise RefusedError(Refusal(ErrorKind.STOPPING, retry_after_s=STOPPING_RETRY_AFTER_S))
         _check_head(headers, config)
         route = self._route(config, fields, request.raw_path)
         workspace = self._workspace(config, route, fields)
@@ -236,9 +238,9 @@
             arrived_s=arrived_s,
             deadline_s=arrived_s + limit_s,
         )
-        await self._run_billed(config, call, workspace, caller)
+        await self._admit_and_run(config, call, workspace, caller)
 
-    async def _run_billed(
+    async def _admit_and_run(
         self,
         config: GatewayConfig,
         call: Call,
@@ -246,7 +248,7 @@
         caller: HttpCaller,
     ) -> None:
         # Before the tokens: what is turned away takes none from those who are served.
-        async with self._guard.admitted(call):
+        async with self._guard.admit(call):
             self._forwarder.admit(call)
             reservation = await self._reserve(call, workspace)
             await self._run_reserved(config, call, reservation, caller)
@@ -259,7 +261,7 @@
         caller: HttpCaller,
     ) -> None:
         service = config.services.get(call.service)
-        event_tokens = 0 if service is None else service.event_tokens
+        event_tokens = 0 if service is None else service.tokens_per_event
         outcome = "left"
         try:
             await self._forwarder.run(call, caller)
@@ -268,7 +270,7 @@
             outcome = "refused"
             raise
         finally:
-            usage = call.usage(event_tokens, is_answered=caller.started)
+            usage = call.usage(event_tokens, is_answered=caller.is_started)
             if reservation is not None:
                 self._accounts.settle(reservation, usage)
             self._log_end(call, caller, outcome, usage)
@@ -298,7 +300,7 @@
     def _workspace(
         self, config: GatewayConfig, route: Route, fields: CallerFields
     ) -> GatewayWorkspace | None:
-        if route.public or not config.workspaces:
+        if route.is_public or not config.workspaces:
             return None
         workspace = config.workspace_for(fields.key)
         if workspace is None:
@@ -314,12 +316,16 @@
             request=request_id,
             kind=refusal.kind.value,
             detail=refusal.detail,
-            run_state=refusal.row.run_state.value,
+            run_state=refusal.answer.run_state.value,
             elapsed_s=round(self._clock.monotonic_s() - arrived_s, 3),
         )
-        headers = self._translator.of_refusal(request_id, refusal.come_back_s)
-        body = {"error": refusal.kind.value, "message": refusal.row.text, "detail": refusal.detail}
-        await caller.send_whole(refusal.row.status, "", headers, json.dumps(body).encode())
+        headers = self._translator.refusal_headers(request_id, refusal.effective_retry_after_s)
+        body = {
+            "error": refusal.kind.value,
+            "message": refusal.answer.message,
+            "detail": refusal.detail,
+        }
+        await caller.send_complete(refusal.answer.status, "", headers, json.dumps(body).encode())
 
     def _log_end(self, call: Call, caller: HttpCaller, outcome: str, usage: Usage) -> None:
         self._metrics.counts[f"requests_{outcome}"] += 1
@@ -332,20 +338,20 @@
             route=call.route.name,
             workspace=call.workspace,
             status=status,
-            attempts=call.sent,
+            attempts=call.sent_attempts,
             upstream=call.upstream_id,
             registrations_age_s=_rounded(call.registrations_age_s),
-            tokens=usage.most_tokens,
-            tokens_in_doubt=usage.most_tokens - usage.sure_tokens,
+            tokens=usage.max_tokens,
+            tokens_in_doubt=usage.max_tokens - usage.confirmed_tokens,
             reserved_after_s=round(call.reserved_after_s, 3),
             started_after_s=round(call.started_after_s, 3),
             elapsed_s=round(self._clock.monotonic_s() - call.arrived_s, 3),
         )
 
 
-def _place_of(error: Exception) -> list[str]:
+def _innermost_calls(error: Exception) -> list[str]:
     """Return where an exception was raised, the innermost calls last."""
-    frames = traceback.extract_tb(error.__traceback__)[-_MOST_FRAMES:]
+    frames = traceback.extract_tb(error.__traceback__)[-_MAX_FRAMES:]
     return [f"{Path(frame.filename).name}:{frame.lineno}" for frame in frames]
 
 
@@ -360,8 +366,10 @@
 def _check_head(headers: RawHeaders, config: GatewayConfig) -> None:
     size = sum(len(name) + len(value) + 4 for name, value in headers)
     if size > config.limits.header_bytes:
-        most = config.limits.header_bytes
-        raise RefusedError(Refusal(ErrorKind.HEAD_TOO_LARGE, f"{size} bytes of at most {most}"))
+        max_bytes = config.limits.header_bytes
+        raise RefusedError(
+            Refusal(ErrorKind.HEAD_TOO_LARGE, f"{size} bytes of at most {max_bytes}")
+        )
 
 
 def _priority(route: Route, workspace: GatewayWorkspace | None) -> int:
@@ -370,14 +378,14 @@
     return workspace.priority
 
 
-async def _read_body(request: web.BaseRequest, most_bytes: int) -> bytes:
+async def _read_body(request: web.BaseRequest, max_bytes: int) -> bytes:
     """Return the whole body; only then can the request be sent again elsewhere."""
     body = bytearray()
     try:
         while piece := await request.content.readany():
             body += piece
-            if len(body) > most_bytes:
-                detail = f"more than {most_bytes} bytes"
+            if len(body) > max_bytes:
+                detail = f"more than {max_bytes} bytes"
                 raise RefusedError(Refusal(ErrorKind.BODY_TOO_LARGE, detail))
     except (aiohttp.ClientError, web.RequestPayloadError) as error:
         raise RefusedError(Refusal(ErrorKind.MALFORMED_REQUEST, repr(error))) from error
--- a/mothstand/gateway/sockets.py
+++ b/mothstand/gateway/sockets.py
@@ -17,9 +17,9 @@
 
 #: Seconds of quiet before the kernel asks whether the other end is still there, and between two
 #: such probes; two probes without an answer end the connection.
-_PROBE_AFTER_S = 1
-_PROBE_EVERY_S = 1
-_PROBES = 2
+_KEEPALIVE_IDLE_S = 1
+_KEEPALIVE_INTERVAL_S = 1
+_KEEPALIVE_PROBES = 2
 
 
 def set_timeouts(sock: socket.socket, user_timeout_s: float) -> None:
@@ -32,9 +32,9 @@
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(user_timeout_s * 1000))
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, _PROBE_AFTER_S)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, _PROBE_EVERY_S)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, _PROBES)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, _KEEPALIVE_IDLE_S)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, _KEEPALIVE_INTERVAL_S)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, _KEEPALIVE_PROBES)
 
 
 class StrictResponseHandler(ResponseHandler):
@@ -61,7 +61,7 @@
         return super().is_connected() and not self._buffer and not self._tail
 
 
-class LingeringConnector(aiohttp.TCPConnector):
+class BackgroundConnector(aiohttp.TCPConnector):
     """A pool whose new connections come about also after a request has given up waiting.
 
     Parameters
@@ -78,10 +78,10 @@
     lies idle in the pool, where the next request finds it.
     """
 
-    def __init__(self, *, linger_s: float, **options: Any) -> None:
+    def __init__(self, *, max_connect_s: float, **options: Any) -> None:
         super().__init__(**options)
-        self._linger_s = linger_s
-        self._lingering: set[asyncio.Task[ResponseHandler]] = set()
+        self._max_connect_s = max_connect_s
+        self._background_connects: set[asyncio.Task[ResponseHandler]] = set()
 
     async def _create_connection(
         self,
@@ -90,19 +90,19 @@
         timeout: aiohttp.ClientTimeout,
     ) -> ResponseHandler:
         # The library has no public way to wait for a connection without ending it.
-        most_s = max(self._linger_s, timeout.sock_connect or 0.0)
-        patient = aiohttp.ClientTimeout(total=None, sock_connect=most_s)
-        connecting = asyncio.create_task(super()._create_connection(req, traces, patient))
+        connect_s = max(self._max_connect_s, timeout.sock_connect or 0.0)
+        connect_timeout = aiohttp.ClientTimeout(total=None, sock_connect=connect_s)
+        connecting = asyncio.create_task(super()._create_connection(req, traces, connect_timeout))
         try:
             return await asyncio.wait_for(asyncio.shield(connecting), timeout.sock_connect)
         except (TimeoutError, asyncio.CancelledError):
-            self._lingering.add(connecting)
-            connecting.add_done_callback(functools.partial(self._keep, req.connection_key))
+            self._background_connects.add(connecting)
+            connecting.add_done_callback(functools.partial(self._add_to_pool, req.connection_key))
             raise
 
-    def _keep(self, key: ConnectionKey, connecting: asyncio.Task[ResponseHandler]) -> None:
+    def _add_to_pool(self, key: ConnectionKey, connecting: asyncio.Task[ResponseHandler]) -> None:
         """Put a connection that came about late into the pool."""
-        self._lingering.discard(connecting)
+        self._background_connects.discard(connecting)
         if connecting.cancelled() or connecting.exception() is not None:
             # Whoever waited for it has told of its failure when it gave up.
             return
@@ -127,19 +127,19 @@
         How long an idle connection may be used again.
     """
 
-    def make(address_info: Any) -> socket.socket:
+    def make_socket(address_info: Any) -> socket.socket:
         family, kind, protocol, _, _ = address_info
         sock = socket.socket(family, kind, protocol)
         sock.setblocking(False)
         set_timeouts(sock, user_timeout_s)
         return sock
 
-    pool = LingeringConnector(
-        linger_s=user_timeout_s,
+    pool = BackgroundConnector(
+        max_connect_s=user_timeout_s,
         limit=0,
         limit_per_host=connect_limit,
         keepalive_timeout=keepalive_s,
-        socket_factory=make,
+        socket_factory=make_socket,
         use_dns_cache=False,
         happy_eyeballs_delay=None,
     )
--- a/mothstand/gateway/start_wait.py
+++ b/mothstand/gateway/startup_wait.py
@@ -11,13 +11,13 @@
 
 #: From the process's start: two of its imports' times. Callers give up on an instance that has not
 #: read their request after a second, and one that waits longer than this waits for the store.
-START_S = 1.5
+MAX_STARTUP_S = 1.5
 
 #: Between two looks; the store answers within some milliseconds.
-_LOOK_S = 0.02
+_POLL_INTERVAL_S = 0.02
 
 
-class StartWait:
+class StartupWait:
     """Waits until the instance knows enough to serve, for as long as its start usually takes.
 
     Parameters
@@ -28,7 +28,7 @@
 
     def __init__(self, clock: Clock, started_s: float, can_serve: Callable[[], bool]) -> None:
         self._clock = clock
-        self._until_s = started_s + START_S
+        self._deadline_s = started_s + MAX_STARTUP_S
         self._can_serve = can_serve
 
     async def wait(self) -> None:
@@ -37,5 +37,5 @@
         Without it the callers that wait for the first moment of an instance are refused in it:
         configuration and upstreams come from the store some 50 ms later.
         """
-        while not self._can_serve() and self._clock.monotonic_s() < self._until_s:
-            await self._clock.sleep(_LOOK_S)
+        while not self._can_serve() and self._clock.monotonic_s() < self._deadline_s:
+            await self._clock.sleep(_POLL_INTERVAL_S)
--- a/mothstand/gateway/store_witness.py
+++ b/mothstand/gateway/store_witness.py
@@ -18,14 +18,14 @@
 
 #: Peers that are asked at once, at any size of the fleet. One that could read the store is enough.
 #: With half of the fleet cut off, one in sixteen instances finds none and assumes an outage.
-_ASKED = 4
+_PEERS_ASKED = 4
 
 
 class StoreWitness(ABC):
     """Determines whether the store was up while this instance could not reach it."""
 
     @abstractmethod
-    async def followed(self, gap_s: float) -> bool:
+    async def read_without_gap(self, gap_s: float) -> bool:
         """Return whether a peer could read the registrations throughout the last `gap_s` seconds.
 
         Also False if it is not known.
@@ -39,25 +39,25 @@
         self._link = link
         self._members = members
 
-    async def followed(self, gap_s: float) -> bool:
+    async def read_without_gap(self, gap_s: float) -> bool:
         """Return whether an asked peer read the registrations for the last `gap_s` seconds."""
-        others = [member.peer for member in self._members.fleet.others()]
+        peers = [member.peer for member in self._members.fleet.other_members()]
         found = False
 
         async def ask(peer: Peer) -> None:
             nonlocal found
-            if await self._followed_s(peer) >= gap_s:
+            if await self._gapless_s(peer) >= gap_s:
                 found = True
                 tasks.cancel_scope.cancel()
 
         async with anyio.create_task_group() as tasks:
-            for peer in random.sample(others, min(_ASKED, len(others))):
+            for peer in random.sample(peers, min(_PEERS_ASKED, len(peers))):
                 tasks.start_soon(ask, peer)
         return found
 
-    async def _followed_s(self, peer: Peer) -> float:
+    async def _gapless_s(self, peer: Peer) -> float:
         try:
-            return await self._link.registrations_followed_s(peer.address)
+            return await self._link.registrations_gapless_s(peer.address)
         except PeerError as error:
             emit(Event.PEER_SUSPECTED, peer=peer.instance, error=str(error))
             return 0.0
--- a/mothstand/gateway/upstream_client.py
+++ b/mothstand/gateway/upstream_client.py
@@ -17,7 +17,7 @@
     from .headers import HeaderTranslator, RawHeaders, UpstreamFields
 
 #: Headers that the client library would add by itself; a caller's request goes on unchanged.
-_NOT_ADDED = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
+_SKIPPED_HEADERS = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
 
 #: Idle connections are used again within this time; upstreams close theirs after some seconds.
 _IDLE_REUSE_S = 4.0
@@ -110,7 +110,7 @@
 
         Ending it tells the upstream to stop work on a request that nobody waits for.
         """
-        if self._response.content.is_eof() and not self.fields.last:
+        if self._response.content.is_eof() and not self.fields.closes_connection:
             self._response.release()
         else:
             self._response.close()
@@ -131,7 +131,7 @@
             connector=self._connector,
             timeout=aiohttp.ClientTimeout(total=None),
             cookie_jar=aiohttp.DummyCookieJar(),
-            skip_auto_headers=_NOT_ADDED,
+            skip_auto_headers=_SKIPPED_HEADERS,
             auto_decompress=False,
         )
         # The library repeats a request by itself when a kept connection turns out closed. The
@@ -171,10 +171,10 @@
             raise ConnectionBrokenError(f"no answer: {error!r}") from error
         raw = tuple((k.decode("latin-1"), v.decode("latin-1")) for k, v in response.raw_headers)
         fields = self._translator.read_upstream(response.status, raw)
-        if fields.misdirected:
+        if fields.is_misdirected:
             await _discard(response)
             raise MisdirectedError(f"another process is at {upstream.address}")
-        if fields.not_run:
+        if fields.has_not_run:
             await _discard(response)
             raise RefusedByUpstreamError(f"refused with {response.status}")
         if fields.request_id != request.request_id:
@@ -183,7 +183,7 @@
             raise MayHaveRunError(f"answer of another request, {fields.request_id!r}")
         return UpstreamAnswer(response, raw, fields)
 
-    def forget(self, upstream: RegisteredUpstream) -> None:
+    def close_idle_connections(self, upstream: RegisteredUpstream) -> None:
         """Close the idle connections to an upstream that has gone or started again.
 
         Its end may have happened behind a cut, where no reset came through. The next request on
--- a/mothstand/histograms.py
+++ b/mothstand/histograms.py
@@ -6,13 +6,13 @@
 
 _LOWEST_US = 1
 _HIGHEST_US = 600_000_000
-_DIGITS = 2
+_SIGNIFICANT_DIGITS = 2
 _PERCENTILES = (50.0, 95.0, 99.0)
 
 
 def new_histogram() -> HdrHistogram:
     """Return an empty histogram from a microsecond to ten minutes."""
-    return HdrHistogram(_LOWEST_US, _HIGHEST_US, _DIGITS)
+    return HdrHistogram(_LOWEST_US, _HIGHEST_US, _SIGNIFICANT_DIGITS)
 
 
 def record_s(histogram: HdrHistogram, seconds: float) -> None:
@@ -20,7 +20,7 @@
     histogram.record_value(min(_HIGHEST_US, max(_LOWEST_US, int(seconds * 1e6))))
 
 
-def lines_of(name: str, histogram: HdrHistogram) -> list[str]:
+def metric_lines(name: str, histogram: HdrHistogram) -> list[str]:
     """Return a histogram's count and percentiles as lines of name and value."""
     lines = [f"mothstand_{name}_count {histogram.get_total_count()}"]
     lines += [
--- a/mothstand/ledger/escrow_agent.py
+++ b/mothstand/ledger/escrow_agent.py
@@ -8,11 +8,11 @@
 from ..core.accounts import HolderAccount, Lane
 from ..core.backoff import Backoff
 from ..core.escrow import (
-    Demand,
     EscrowView,
+    SpendEstimator,
     ask_tokens,
-    gives_way,
     promotion_share_tokens,
+    should_give_all,
     surplus_tokens,
 )
 from ..core.ledger_state import EpochState, Grant
@@ -77,7 +77,7 @@
         self._state = state
         self._writer = writer
         self._want_mirror = want_mirror
-        self._demands: dict[BudgetName, Demand] = {}
+        self._demands: dict[BudgetName, SpendEstimator] = {}
         self._asked: dict[BudgetName, RecordId] = {}
         self._unmet: dict[BudgetName, _UnmetAsks] = {}
         self._along_start = 0
@@ -90,7 +90,7 @@
 
     def add_demand(self, budget: BudgetName, used_tokens: int) -> None:
         """Count a request's usage towards the budget's demand."""
-        self._demand(budget).add(used_tokens, self._state.context.clock.monotonic_s())
+        self._demand(budget).add_usage(used_tokens, self._state.context.clock.monotonic_s())
 
     def on_epoch(self) -> None:
         """Forget what was asked for, and on its way back, in an earlier epoch."""
@@ -104,7 +104,7 @@
         for budget, asked in self._asked.items():
             if asked != record.record_id:
                 continue
-            if here in self._state.fold.unmet.get(budget, {}):
+            if here in self._state.fold.unfulfilled_tokens.get(budget, {}):
                 self._unmet.setdefault(budget, _UnmetAsks()).add(now_s)
                 emit(Event.GRANT_UNMET, shard=self._state.shard, budget=budget)
             else:
@@ -163,13 +163,13 @@
         if leading is None:
             return
         here = self._state.context.membership.data_centre
-        for budget, waiting in list(self._state.fold.unmet.items()):
+        for budget, waiting in list(self._state.fold.unfulfilled_tokens.items()):
             unmet = sum(tokens for dc, tokens in waiting.items() if dc != here)
             if unmet <= 0 or budget not in leading[0].grants:
                 continue
             if here not in waiting:
                 self._give_back_one(leading, budget, unmet)
-            elif gives_way(budget, here, waiting):
+            elif should_give_all(budget, here, waiting):
                 self._give_way(leading, budget)
 
     def on_decided(self, epoch: Epoch, number: int, acknowledged: bool) -> None:
@@ -196,7 +196,7 @@
         if view.ungranted_tokens < max(1, short_tokens) and not self._may_move_others(budget, view):
             return None
         policy = self._state.context.config().escrow
-        tokens = ask_tokens(policy, view, along=along)
+        tokens = ask_tokens(policy, view, shares_append=along)
         if tokens <= 0:
             return None
         account = leading[1]
@@ -210,8 +210,8 @@
             budget=budget,
             tokens=tokens,
             spent_tokens=spent - account.open_tokens(budget),
-            allowance_tokens=allowance - grant.allowance_tokens if view.witnessed else 0,
-            promotion_tokens=promotion - grant.promotion_tokens if view.witnessed else 0,
+            allowance_tokens=allowance - grant.allowance_tokens if view.has_witness else 0,
+            promotion_tokens=promotion - grant.promotion_tokens if view.has_witness else 0,
         )
 
     def _may_move_others(self, budget: BudgetName, view: EscrowView) -> bool:
@@ -235,13 +235,13 @@
             rate_tokens_per_s=demand.rate_tokens_per_s(context.clock.monotonic_s()),
             largest_tokens=demand.largest_tokens,
             data_centres=context.data_centres(),
-            witnessed=account.witnessed,
+            has_witness=account.has_witness,
         )
 
-    def _demand(self, budget: BudgetName) -> Demand:
+    def _demand(self, budget: BudgetName) -> SpendEstimator:
         demand = self._demands.get(budget)
         if demand is None:
-            demand = Demand(self._state.context.config().escrow.demand_window_s)
+            demand = SpendEstimator(self._state.context.config().escrow.demand_window_s)
             self._demands[budget] = demand
         return demand
 
--- a/mothstand/ledger/elsewhere.py
+++ b/mothstand/ledger/remote_reserve.py
@@ -45,7 +45,7 @@
         except PeerError:
             continue
         if isinstance(reply, Ticket):
-            home = state.context.membership.me.address if call.keyed else ""
+            home = state.context.membership.local_member.address if call.keyed else ""
             return replace(reply, home=home)
     return None
 
@@ -67,7 +67,7 @@
     now_s = state.context.clock.monotonic_s()
     found: list[tuple[int, EpochState]] = []
     for epoch in state.elsewhere(budget):
-        if epoch.closed:
+        if epoch.is_closed:
             continue
         grant = epoch.grants[budget]
         free_tokens = grant.granted_tokens - grant.returned_tokens - grant.reported_tokens
--- a/mothstand/ledger/reserver.py
+++ b/mothstand/ledger/reserver.py
@@ -13,7 +13,7 @@
 from ..events import Event, emit
 from ..peers.failures import PeerError
 from .calls import KnownKey, NotHolder, ReserveCall, ReserveReply, Ticket
-from .elsewhere import away_wait_s, reserve_elsewhere
+from .remote_reserve import away_wait_s, reserve_elsewhere
 
 if TYPE_CHECKING:
     from ..core.accounts import WitnessAccount
@@ -87,7 +87,7 @@
     def settle(self, ticket: Ticket, used_tokens: int, request_id: str) -> bool:
         """Settle a reservation; return False if this instance cannot, now or ever."""
         state = self._state
-        if ticket.home == state.context.membership.me.address:
+        if ticket.home == state.context.membership.local_member.address:
             self._end_key(request_id, used_tokens)
             return True
         holder = state.holders.get(ticket.epoch)
@@ -96,9 +96,9 @@
             settled = holder.settle(ticket.number, used_tokens)
             if settled is not None:
                 self.agent.add_demand(settled.budget, used_tokens)
-            if holder.witnessed:
+            if holder.has_witness:
                 self.want_mirror()
-        elif witness is not None and witness.sealed:
+        elif witness is not None and witness.is_sealed:
             witness.settle(ticket.number, used_tokens)
         else:
             # An unsealed witness hears of settlements from its holder, in order.
@@ -120,10 +120,10 @@
         holder = self._state.holders.get(ticket.epoch)
         witness = self._state.witnesses.get(ticket.epoch)
         if holder is not None and ticket.number > 0:
-            holder.posted(ticket.number)
+            holder.note_posted(ticket.number)
             self.want_mirror()
-        elif witness is not None and witness.sealed:
-            witness.posted(ticket.number)
+        elif witness is not None and witness.is_sealed:
+            witness.note_posted(ticket.number)
 
     def mirror(self, batch: MirrorBatch) -> MirrorAnswer | None:
         """Answer a holder as its witness; None says "not me"."""
@@ -133,14 +133,14 @@
             # "nothing spent" would free what its former life acknowledged.
             return None
         grants = self._state.fold.epochs[batch.epoch].grants
-        return witness.mirror(batch, grants)
+        return witness.apply_batch(batch, grants)
 
     async def run_mirror(self) -> None:
         """Send batches to the witness of the led epoch, one at a time, until cancelled."""
         while True:
             await self._mirror_wanted.wait()
             leading = self._state.leading()
-            batch = None if leading is None else leading[1].take_batch()
+            batch = None if leading is None else leading[1].next_batch()
             if leading is None or batch is None or leading[0].witness is None:
                 self._mirror_wanted = anyio.Event()
                 self._release_lost()
@@ -166,7 +166,7 @@
             return
         self._note_witness(reachable=True, detail="")
         self.take_answer(account, batch, answer)
-        if answer.sealed:
+        if answer.is_sealed:
             emit(Event.EPOCH_LOST, shard=self._state.shard, epoch=batch.epoch)
             self._release_lost()
 
@@ -174,7 +174,7 @@
         self, account: HolderAccount, batch: MirrorBatch, answer: MirrorAnswer
     ) -> tuple[Reservation, ...]:
         """Take the witness's answer to a batch; return the reservations that may now be used."""
-        usable = account.batch_acked(batch.number, answer)
+        usable = account.apply_answer(batch.number, answer)
         numbers = frozenset(r.number for r in usable)
         self._release(batch, numbers)
         for reservation in batch.reservations:
@@ -216,7 +216,7 @@
         for epoch, account in [*self._state.holders.items(), *self._state.witnesses.items()]:
             if epoch not in self._state.fold.epochs:
                 continue
-            for reservation in account.open.values():
+            for reservation in account.open_reservations.values():
                 if reservation.request_id == call.request_id:
                     reservation.owner = call.owner
                     self._state.requests.start(call.request_id, call.owner)
@@ -252,7 +252,7 @@
 
     def _hint(self) -> str:
         current = self._state.current()
-        if current is None or current.closed:
+        if current is None or current.is_closed:
             return ""
         return current.holder.address
 
@@ -306,7 +306,7 @@
             if lane is Lane.OWN or await self._acknowledged(epoch_state.epoch, taken):
                 return self._ticket(epoch_state, taken)
             account.settle(taken.number, 0)
-        if self.witness_reachable or not account.witnessed:
+        if self.witness_reachable or not account.has_witness:
             return None
         # The witness was lost while this request waited for it.
         taken = _reserve_in(account, call, grant, Lane.OWN)
@@ -320,7 +320,7 @@
         The allowance is for a lost witness, and is kept while the log has more to give. At the
         budget's end it is spent: holding it back would refuse requests that are paid for.
         """
-        if not account.witnessed or not self.witness_reachable:
+        if not account.has_witness or not self.witness_reachable:
             return [Lane.OWN]
         if self._state.fold.ungranted_tokens(budget) > 0:
             return [Lane.WITNESSED]
@@ -357,7 +357,7 @@
         settled = sum(account.spent_tokens(call.budget, lane) for lane in Lane)
         opened = account.open_tokens(call.budget)
         returned = epoch_state.grants.get(call.budget, Grant()).returned_tokens
-        others = fold.reported_tokens(call.budget, without=epoch_state.epoch)
+        others = fold.reported_tokens(call.budget, excluded_epoch=epoch_state.epoch)
         left = paid - others - (settled - opened)
         numbers = f"needs up to {call.bound_tokens} tokens, {left} of {paid} are unspent"
         if call.bound_tokens > left:
--- a/mothstand/ledger/service.py
+++ b/mothstand/ledger/service.py
@@ -100,7 +100,7 @@
             request_id=request_id,
             budget=budget,
             bound_tokens=bound_tokens,
-            owner=self._context.membership.me.incarnation,
+            owner=self._context.membership.local_member.incarnation,
             keyed=keyed,
         )
         clock = self._context.clock
@@ -140,7 +140,7 @@
 
     def partners(self) -> set[str]:
         """Return the names of the peers that share an epoch with this instance."""
-        me = self._context.membership.me.name
+        me = self._context.membership.local_member.name
         pairs = (node.state.pair() for node in self.shards.values())
         return {name for pair in pairs if me in pair for name in pair if name != me}
 
@@ -192,7 +192,7 @@
                 await self._say_posted(address, tuple(tickets))
 
     async def _say_posted(self, address: str, tickets: tuple[Ticket, ...]) -> None:
-        if address == self._context.membership.me.address:
+        if address == self._context.membership.local_member.address:
             for ticket in tickets:
                 self.posted_here(ticket)
             return
@@ -235,12 +235,12 @@
             if current.witness is not None:
                 named.append(current.witness.address)
         membership = self._context.membership
-        alive = membership.alive_here(self._context.clock.monotonic_s())
+        alive = membership.local_alive(self._context.clock.monotonic_s())
         order = rank_for_shard(alive, membership.data_centre, shard)
         return [*named, *(alive[name].address for name in order)]
 
     async def _reserve_at(self, address: str, call: ReserveCall) -> ReserveReply:
-        if address == self._context.membership.me.address:
+        if address == self._context.membership.local_member.address:
             return await self.reserve_here(call)
         timing = self._context.timing
         timeout_s = timing.grant_wait_s + 4 * timing.mirror_timeout_s
@@ -263,7 +263,7 @@
     async def _settle_at(
         self, address: str, ticket: Ticket, request_id: str, used_tokens: int
     ) -> bool:
-        if address == self._context.membership.me.address:
+        if address == self._context.membership.local_member.address:
             return self.settle_here(ticket, used_tokens, request_id)
         try:
             return await self._context.calls.settle(
--- a/mothstand/ledger/shard.py
+++ b/mothstand/ledger/shard.py
@@ -131,7 +131,7 @@
         """Close the led epoch without a successor, at a stop."""
         leading = self.state.leading()
         if leading is not None:
-            leading[1].lost = True
+            leading[1].has_lost_epoch = True
             self._report_closed(leading[0].epoch)
 
     def _snapshot_if_due(self) -> None:
@@ -140,7 +140,7 @@
         The data centres' leaseholders take turns: the first in order is due first, the others a
         little later, in case it is cut off.
         """
-        order = sorted(self.state.fold.current)
+        order = sorted(self.state.fold.current_epochs)
         turn = order.index(self._context.membership.data_centre)
         due = SNAPSHOT_EVERY_RECORDS * (4 + turn) // 4
         if self.state.fold.offset - self._snapshot_offset < due:
@@ -153,8 +153,8 @@
         membership = self._context.membership
         if opened.data_centre != membership.data_centre:
             return
-        if opened.holder == membership.me:
-            self.state.holders[epoch] = HolderAccount(epoch, witnessed=opened.witness is not None)
+        if opened.holder == membership.local_member:
+            self.state.holders[epoch] = HolderAccount(epoch, has_witness=opened.witness is not None)
             self.reserver.witness_reachable = True
             self.agent.on_epoch()
             emit(
@@ -164,7 +164,7 @@
                 prior_epoch=opened.prior_epoch,
                 witness=opened.witness.name if opened.witness else None,
             )
-        if opened.witness == membership.me:
+        if opened.witness == membership.local_member:
             self.state.witnesses[epoch] = WitnessAccount(epoch)
         if before is not None:
             self._leave_epoch(before.epoch)
@@ -173,12 +173,12 @@
         """Spend nothing more in a superseded epoch and close this instance's side of it."""
         holder = self.state.holders.get(epoch)
         if holder is not None:
-            holder.lost = True
+            holder.has_lost_epoch = True
             emit(Event.EPOCH_LOST, shard=self.state.shard, epoch=epoch)
         witness = self.state.witnesses.get(epoch)
         if witness is not None:
             witness.seal()
-            witness.stop_own()
+            witness.stop_promotion()
             self._adopt_requests(witness)
             emit(Event.EPOCH_SEALED, shard=self.state.shard, epoch=epoch)
         self._report_closed(epoch)
@@ -187,9 +187,9 @@
     def _adopt_requests(self, witness: WitnessAccount) -> None:
         """Know the keys of the lost leaseholder's requests, so that retries do not run twice."""
         now_s = self._context.clock.monotonic_s()
-        for reservation in witness.open.values():
+        for reservation in witness.open_reservations.values():
             self.state.requests.start(reservation.request_id, reservation.owner)
-        for settled in witness.unposted.values():
+        for settled in witness.unposted_requests.values():
             self.state.requests.start(settled.reservation.request_id, settled.reservation.owner)
             self.state.requests.finish(settled.reservation.request_id, now_s)
 
@@ -198,7 +198,7 @@
         if epoch not in self.state.fold.epochs:
             return
         for side, account in self._sides(epoch):
-            spends = account.spends()
+            spends = account.budget_spends()
             if self._reported.get((epoch, side)) == spends:
                 continue
             self._reported[epoch, side] = spends
@@ -219,7 +219,7 @@
         for epoch in {*self.state.holders, *self.state.witnesses}:
             if current is None or epoch == current.epoch:
                 continue
-            if not any(account.open for _, account in self._sides(epoch)):
+            if not any(account.open_reservations for _, account in self._sides(epoch)):
                 self._report_closed(epoch)
 
     def _open_if_due(self, now_s: float) -> None:
@@ -229,7 +229,7 @@
         if plan is None:
             return
         record = self._writer.submit(
-            lambda record_id: plan.record(record_id, self.state.fold, self._context.membership)
+            lambda record_id: plan.to_record(record_id, self.state.fold, self._context.membership)
         )
         self._opening = record.record_id
 
@@ -239,7 +239,7 @@
         if current is None or not self._context.log_is_out:
             return
         witness = self.state.witnesses.get(current.epoch)
-        if witness is None or witness.sealed:
+        if witness is None or witness.is_sealed:
             return
         if self._context.membership.is_alive(current.holder, now_s):
             return
@@ -252,26 +252,26 @@
         for accounts in (self.state.holders, self.state.witnesses):
             for epoch in [e for e in accounts if e not in self.state.fold.epochs]:
                 # Running requests still settle here, if only for their bills.
-                if not accounts[epoch].open:
+                if not accounts[epoch].open_reservations:
                     del accounts[epoch]
 
     def _bill_for_the_dead(self, now_s: float) -> None:
         """Post the bills of instances that died before they could."""
         for _, account in self._billable():
-            for number, settled in list(account.unposted.items()):
+            for number, settled in list(account.unposted_requests.items()):
                 if self._is_dead(settled.reservation.owner, now_s, for_s=0.0):
                     self._bill(_bill_line(settled))
-                    account.posted(number)
-            for number, reservation in list(account.open.items()):
+                    account.note_posted(number)
+            for number, reservation in list(account.open_reservations.items()):
                 if self._is_dead(reservation.owner, now_s, for_s=ORPHAN_HOLD_S):
                     account.settle(number, reservation.bound_tokens)
                     line = _bill_line(SettledRequest(reservation, reservation.bound_tokens))
                     self._bill(BillLine(line.request_id, line.budget, line.tokens, estimated=True))
-                    account.posted(number)
+                    account.note_posted(number)
 
     def _billable(self) -> list[tuple[Epoch, HolderAccount | WitnessAccount]]:
         """Return the accounts that speak for their epoch: no witness does before it seals."""
-        sealed = [(e, w) for e, w in self.state.witnesses.items() if w.sealed]
+        sealed = [(e, w) for e, w in self.state.witnesses.items() if w.is_sealed]
         return [*self.state.holders.items(), *sealed]
 
     def _is_dead(self, owner: str, now_s: float, *, for_s: float) -> bool:
--- a/mothstand/ledger/state.py
+++ b/mothstand/ledger/state.py
@@ -9,7 +9,7 @@
 
 from ..core.ledger_fold import LedgerFold
 from ..core.requests import RequestIndex
-from ..log.health import LOG_OUT_AFTER_S
+from ..log.health import UNREACHABLE_AFTER_S
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -49,7 +49,7 @@
     @property
     def log_is_out(self) -> bool:
         """Whether the log has been silent for long."""
-        return self.log_silent_s() >= LOG_OUT_AFTER_S
+        return self.log_silent_s() >= UNREACHABLE_AFTER_S
 
 
 @dataclass(slots=True)
@@ -82,7 +82,9 @@
     def elsewhere(self, budget: BudgetName) -> list[EpochState]:
         """Return other data centres' current epochs that were granted escrow of a budget."""
         here = self.context.membership.data_centre
-        epochs = (self.fold.epochs[e] for place, e in self.fold.current.items() if place != here)
+        epochs = (
+            self.fold.epochs[e] for place, e in self.fold.current_epochs.items() if place != here
+        )
         return [state for state in epochs if budget in state.grants]
 
     def pair(self) -> set[str]:
@@ -96,10 +98,10 @@
     def leading(self) -> tuple[EpochState, HolderAccount] | None:
         """Return the current epoch and its account if this instance may spend in it."""
         state = self.current()
-        if state is None or state.closed:
+        if state is None or state.is_closed:
             return None
         account = self.holders.get(state.epoch)
-        if account is None or account.lost:
+        if account is None or account.has_lost_epoch:
             return None
         return state, account
 
@@ -107,7 +109,7 @@
         """Return the current epoch and its account if this instance spends as its witness."""
         state = self.current()
         account = None if state is None else self.witnesses.get(state.epoch)
-        if state is None or account is None or not account.promoted:
+        if state is None or account is None or not account.is_promoted:
             return None
         return state, account
 
--- a/mothstand/log/client.py
+++ b/mothstand/log/client.py
@@ -74,19 +74,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Appended:
+class _AppendAnswer:
     offset: int
 
 
 @dataclass(frozen=True, slots=True)
-class _Page:
+class _ReadAnswer:
     records: tuple[tuple[int, str], ...]
     first: int
     next: int
 
 
-_APPENDED = TypeAdapter(_Appended)
-_PAGE = TypeAdapter(_Page)
+_APPEND_ANSWER = TypeAdapter(_AppendAnswer)
+_READ_ANSWER = TypeAdapter(_ReadAnswer)
 
 
 class HttpLog(LogClient):
@@ -127,7 +127,7 @@
             if answer.status_code == httpx.codes.TOO_MANY_REQUESTS:
                 raise LogBusyError(f"append to {stream}: above the log's rate limit")
             answer.raise_for_status()
-            return _APPENDED.validate_json(answer.content).offset
+            return _APPEND_ANSWER.validate_json(answer.content).offset
         except (httpx.HTTPError, ValidationError) as error:
             raise LogError(f"append to {stream}: {error!r}") from error
 
@@ -140,7 +140,7 @@
                 timeout=self._timeout_s + wait_s,
             )
             answer.raise_for_status()
-            page = _PAGE.validate_json(answer.content)
+            page = _READ_ANSWER.validate_json(answer.content)
         except (httpx.HTTPError, ValidationError) as error:
             raise LogError(f"read of {stream}: {error!r}") from error
         return LogPage(page.records, page.first, page.next)
--- a/mothstand/log/health.py
+++ b/mothstand/log/health.py
@@ -10,10 +10,10 @@
     from ..clock import Clock
 
 #: Seconds of silence after which the log counts as out.
-LOG_OUT_AFTER_S = 2.0
+UNREACHABLE_AFTER_S = 2.0
 
 
-class LogHealth:
+class PlatformHealth:
     """Since when nothing has been heard of the log.
 
     Notes
@@ -26,24 +26,24 @@
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._failing_since_s: float | None = None
-        self._told = False
+        self._is_outage_reported = False
 
-    def answered(self) -> None:
+    def note_success(self) -> None:
         """Note an answer of the log, whatever it said."""
         self._failing_since_s = None
-        if self._told:
-            self._told = False
+        if self._is_outage_reported:
+            self._is_outage_reported = False
             emit(Event.LOG_REACHABLE)
 
-    def failed(self, error: Exception) -> None:
+    def note_failure(self, error: Exception) -> None:
         """Note a call without an answer."""
         if self._failing_since_s is None:
             self._failing_since_s = self._clock.monotonic_s()
-        if self.is_out and not self._told:
-            self._told = True
+        if self.is_unreachable and not self._is_outage_reported:
+            self._is_outage_reported = True
             emit(Event.LOG_UNREACHABLE, error=str(error))
 
-    def silent_s(self) -> float:
+    def failing_s(self) -> float:
         """Return the seconds since the first call without an answer; 0 while the log answers."""
         since = self._failing_since_s
         return 0.0 if since is None else self._clock.monotonic_s() - since
@@ -54,6 +54,6 @@
         return self._failing_since_s is not None
 
     @property
-    def is_out(self) -> bool:
+    def is_unreachable(self) -> bool:
         """Whether the log has been silent for long."""
-        return self.silent_s() >= LOG_OUT_AFTER_S
+        return self.failing_s() >= UNREACHABLE_AFTER_S
