--- a/mothstand/log/instances.py
+++ b/mothstand/log/instances.py
@@ -51,20 +51,20 @@
         self._http = httpx.AsyncClient(
             base_url=address, headers={"x-caller": caller}, timeout=timeout_s, trust_env=False
         )
-        self._tag = ""
-        self._last: tuple[ListedInstance, ...] = ()
+        self._etag = ""
+        self._last_list: tuple[ListedInstance, ...] = ()
 
     async def read(self) -> tuple[ListedInstance, ...]:
         """Return the list."""
         try:
-            headers = {"if-none-match": self._tag} if self._tag else {}
+            headers = {"if-none-match": self._etag} if self._etag else {}
             answer = await self._http.get("/instances", headers=headers)
             if answer.status_code == httpx.codes.NOT_MODIFIED:
-                return self._last
+                return self._last_list
             answer.raise_for_status()
-            self._last = _LIST.validate_json(answer.content)
-            self._tag = answer.headers.get("etag", "")
-            return self._last
+            self._last_list = _LIST.validate_json(answer.content)
+            self._etag = answer.headers.get("etag", "")
+            return self._last_list
         except (httpx.HTTPError, ValidationError) as error:
             raise ListError(repr(error)) from error
 
--- a/mothstand/log/watched.py
+++ b/mothstand/log/monitored.py
@@ -7,13 +7,13 @@
 from .client import LogBusyError, LogClient, LogError, LogPage
 
 if TYPE_CHECKING:
-    from .health import LogHealth
+    from .health import PlatformHealth
 
 
-class WatchedLog(LogClient):
+class MonitoredLog(LogClient):
     """A log whose answers and failures a `LogHealth` hears of."""
 
-    def __init__(self, log: LogClient, health: LogHealth) -> None:
+    def __init__(self, log: LogClient, health: PlatformHealth) -> None:
         self._log = log
         self._health = health
 
@@ -22,9 +22,9 @@
         try:
             offset = await self._log.append(stream, payload)
         except LogError as error:
-            self._note(error)
+            self._note_failure(error)
             raise
-        self._health.answered()
+        self._health.note_success()
         return offset
 
     async def read(self, stream: str, from_offset: int, *, wait_s: float) -> LogPage:
@@ -32,13 +32,13 @@
         try:
             page = await self._log.read(stream, from_offset, wait_s=wait_s)
         except LogError as error:
-            self._note(error)
+            self._note_failure(error)
             raise
-        self._health.answered()
+        self._health.note_success()
         return page
 
-    def _note(self, error: LogError) -> None:
+    def _note_failure(self, error: LogError) -> None:
         if isinstance(error, LogBusyError):
-            self._health.answered()
+            self._health.note_success()
         else:
-            self._health.failed(error)
+            self._health.note_failure(error)
--- a/mothstand/log/reader.py
+++ b/mothstand/log/reader.py
@@ -18,8 +18,8 @@
 
 #: Seconds that a read waits for a new record.
 READ_WAIT_S = 5.0
-_RETRY_FIRST_S = 0.1
-_RETRY_MOST_S = 1.0
+_FIRST_RETRY_DELAY_S = 0.1
+_MAX_RETRY_DELAY_S = 1.0
 
 
 class LogReader:
@@ -47,18 +47,18 @@
         apply: Callable[[int, Record], None],
         *,
         clock: Clock,
-        load: Callable[[SnapshotRecord], None] | None = None,
+        load_snapshot: Callable[[SnapshotRecord], None] | None = None,
     ) -> None:
         self.stream = stream
         self.next_offset = 1
-        self.caught_up = False
-        self._backoff = Backoff(_RETRY_FIRST_S, _RETRY_MOST_S)
+        self.is_caught_up = False
+        self._backoff = Backoff(_FIRST_RETRY_DELAY_S, _MAX_RETRY_DELAY_S)
         self._log = log
         self._apply = apply
         self._clock = clock
-        self._load = load
+        self._load_snapshot = load_snapshot
         self._gap_before: int | None = None
-        self._held: list[tuple[int, Record]] = []
+        self._held_records: list[tuple[int, Record]] = []
 
     async def run(self) -> None:
         """Follow the stream until cancelled."""
@@ -67,7 +67,7 @@
                 await self.read_once(wait_s=self._wait_s)
                 self._backoff.reset()
             except LogError:
-                await self._clock.sleep(self._backoff.jittered_s())
+                await self._clock.sleep(self._backoff.next_jittered_s())
 
     @property
     def _wait_s(self) -> float:
@@ -75,20 +75,20 @@
 
         On a quiet stream a waiting read would say only seconds later that the log is back.
         """
-        return READ_WAIT_S if self.caught_up and not self._backoff.tries else 0.0
+        return READ_WAIT_S if self.is_caught_up and not self._backoff.attempts else 0.0
 
     async def read_once(self, *, wait_s: float) -> None:
         """Read and apply one page."""
         page = await self._log.read(self.stream, self.next_offset, wait_s=wait_s)
-        if page.first_offset > self.next_offset and self._load is not None:
+        if page.first_offset > self.next_offset and self._load_snapshot is not None:
             self._gap_before = page.first_offset
-            self._held = []
+            self._held_records = []
         for offset, payload in page.records:
             self._apply_payload(offset, payload)
         self.next_offset = max(self.next_offset, page.next_offset)
         # Before a snapshot has filled the gap, the stream is not known.
         if not page.records and self._gap_before is None:
-            self.caught_up = True
+            self.is_caught_up = True
 
     def _apply_payload(self, offset: int, payload: str) -> None:
         if offset < self.next_offset:
@@ -100,21 +100,21 @@
             emit(Event.RECORD_SKIPPED, stream=self.stream, offset=offset, error=str(error))
             return
         for record in records:
-            self._take(offset, record)
+            self._apply_or_hold(offset, record)
 
-    def _take(self, offset: int, record: Record) -> None:
+    def _apply_or_hold(self, offset: int, record: Record) -> None:
         if self._gap_before is None:
             self._apply(offset, record)
         elif not isinstance(record, SnapshotRecord):
-            self._held.append((offset, record))
+            self._held_records.append((offset, record))
         elif record.at_offset >= self._gap_before - 1:
             self._fill_gap(record)
 
     def _fill_gap(self, snapshot: SnapshotRecord) -> None:
-        assert self._load is not None
-        self._load(snapshot)
+        assert self._load_snapshot is not None
+        self._load_snapshot(snapshot)
         self._gap_before = None
-        for offset, record in self._held:
+        for offset, record in self._held_records:
             if offset > snapshot.at_offset:
                 self._apply(offset, record)
-        self._held = []
+        self._held_records = []
--- a/mothstand/log/writer.py
+++ b/mothstand/log/writer.py
@@ -21,8 +21,8 @@
 
 #: Most records in one append; the rest goes with the next.
 MAX_BATCH = 500
-_BACKOFF_FIRST_S = 0.05
-_BACKOFF_MOST_S = 1.0
+_FIRST_RETRY_DELAY_S = 0.05
+_MAX_RETRY_DELAY_S = 1.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,9 +39,9 @@
         As many records do not wait.
     """
 
-    least_interval_s: float
-    gather_s: float = 0.0
-    full_records: int = 1
+    min_interval_s: float
+    linger_s: float = 0.0
+    full_batch_records: int = 1
 
 
 class LogWriter(Generic[_R]):
@@ -65,49 +65,49 @@
         self, log: LogClient, stream: str, *, author: str, clock: Clock, pace: Pace
     ) -> None:
         self.stream = stream
-        self.appends = 0
+        self.append_attempts = 0
         self._log = log
         self._author = author
         self._clock = clock
         self._pace = pace
-        self._full = anyio.Event()
-        self._hurried = False
+        self._batch_is_full = anyio.Event()
+        self._is_linger_disabled = False
         self._sequence = 0
         self._queue: list[_R] = []
         self._wake = anyio.Event()
-        self._appended: list[Callable[[tuple[_R, ...]], None]] = []
+        self._append_callbacks: list[Callable[[tuple[_R, ...]], None]] = []
 
     @property
     def pending(self) -> int:
         """Number of records that are not known to be in the log."""
         return len(self._queue)
 
-    def submit(self, make: Callable[[RecordId], _R]) -> _R:
+    def submit(self, make_record: Callable[[RecordId], _R]) -> _R:
         """Queue the record that `make` returns for the next record id, and return it."""
         self._sequence += 1
-        record = make(RecordId(self._author, self._sequence))
+        record = make_record(RecordId(self._author, self._sequence))
         self._queue.append(record)
         self._wake.set()
-        if len(self._queue) >= self._pace.full_records:
-            self._full.set()
+        if len(self._queue) >= self._pace.full_batch_records:
+            self._batch_is_full.set()
         return record
 
-    def hurry(self) -> None:
+    def disable_linger(self) -> None:
         """Append at once from now on, as before a stop."""
-        self._hurried = True
-        self._full.set()
+        self._is_linger_disabled = True
+        self._batch_is_full.set()
 
     def on_appended(self, callback: Callable[[tuple[_R, ...]], None]) -> None:
         """Call `callback` with the records of each append that was answered."""
-        self._appended.append(callback)
+        self._append_callbacks.append(callback)
 
     async def run(self) -> None:
         """Append what is queued, until cancelled."""
         while True:
             await self._wake.wait()
-            await self._gather()
+            await self._linger()
             await self.flush()
-            await self._clock.sleep(self._pace.least_interval_s)
+            await self._clock.sleep(self._pace.min_interval_s)
 
     async def flush(self) -> None:
         """Append what is queued now."""
@@ -115,32 +115,32 @@
             batch = tuple(self._queue[:MAX_BATCH])
             await self._append(encode(batch))
             del self._queue[: len(batch)]
-            for callback in self._appended:
+            for callback in self._append_callbacks:
                 callback(batch)
         self._wake = anyio.Event()
-        if not self._hurried:
-            self._full = anyio.Event()
+        if not self._is_linger_disabled:
+            self._batch_is_full = anyio.Event()
 
-    async def _gather(self) -> None:
+    async def _linger(self) -> None:
         """Let more records come, until there are enough or the first has waited long."""
-        if not self._pace.gather_s:
+        if not self._pace.linger_s:
             return
         async with anyio.create_task_group() as tasks:
 
             async def wait_until_full() -> None:
-                await self._full.wait()
+                await self._batch_is_full.wait()
                 tasks.cancel_scope.cancel()
 
             tasks.start_soon(wait_until_full)
-            await self._clock.sleep(self._pace.gather_s)
+            await self._clock.sleep(self._pace.linger_s)
             tasks.cancel_scope.cancel()
 
     async def _append(self, payload: bytes) -> None:
-        backoff = Backoff(_BACKOFF_FIRST_S, _BACKOFF_MOST_S)
+        backoff = Backoff(_FIRST_RETRY_DELAY_S, _MAX_RETRY_DELAY_S)
         while True:
             try:
-                self.appends += 1
+                self.append_attempts += 1
                 await self._log.append(self.stream, payload)
                 return
             except LogError:
-                await self._clock.sleep(backoff.jittered_s())
+                await self._clock.sleep(backoff.next_jittered_s())
--- a/mothstand/operators/release.py
+++ b/mothstand/operators/release.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from ..core.bills import Billed
+from ..core.bills import BilledTotals
 from ..core.records import EpochReleased, Outcome, RecordId, SpentTokens
 from ..errors import SettingsError
 from ..log.codec import encode
@@ -44,9 +44,9 @@
     """
     spent = []
     for budget, grant in sorted(state.grants.items()):
-        billed = view.bills.billed.get(budget, Billed()).tokens
-        others = fold.reported_tokens(budget, without=state.epoch)
-        least = grant.least_spent_tokens()
+        billed = view.bills.billed.get(budget, BilledTotals()).tokens
+        others = fold.reported_tokens(budget, excluded_epoch=state.epoch)
+        least = grant.min_spent_tokens()
         most = state.consumed_tokens(budget)
         tokens = min(max(least, billed - others), max(least, most))
         spent.append(SpentTokens(budget, min(tokens, grant.granted_tokens - grant.returned_tokens)))
@@ -102,7 +102,7 @@
 
 async def _check_silent(peers: GrpcPeers, me: Member, state: EpochState) -> None:
     """Refuse while a process that has not closed its side answers: it will do so by itself."""
-    for member in state.silent():
+    for member in state.unclosed_members():
         try:
             found = await peers.probe(member.address, me, timeout_s=_PROBE_TIMEOUT_S)
         except PeerError:
--- a/mothstand/operators/reports.py
+++ b/mothstand/operators/reports.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from ..core.bills import Billed
+from ..core.bills import BilledTotals
 from ..core.membership import shard_of
 from ..core.records import (
     BudgetPaid,
@@ -29,7 +29,7 @@
     for name in sorted(view.config.state.config.budgets):
         fold = view.ledgers[shard_of(name, len(view.ledgers))]  # type: ignore[index]
         paid = fold.paid_tokens.get(name, 0)
-        billed = view.bills.billed.get(name, Billed())
+        billed = view.bills.billed.get(name, BilledTotals())
         free = fold.ungranted_tokens(name)
         held = paid - free - billed.tokens
         yield (
@@ -41,7 +41,7 @@
 def epoch_lines(view: LogView) -> Iterator[str]:
     """Return a line for each shard's current epoch in each data centre."""
     for shard, fold in sorted(view.ledgers.items()):
-        for data_centre, epoch in sorted(fold.current.items()):
+        for data_centre, epoch in sorted(fold.current_epochs.items()):
             state = fold.epochs[epoch]
             witness = state.witness.name if state.witness else "none"
             yield f"shard {shard} {data_centre}: {state.holder.name} leads, witness {witness}"
@@ -52,10 +52,10 @@
     for shard, fold in sorted(view.ledgers.items()):
         for state in fold.stranded_epochs():
             held = sum(
-                state.consumed_tokens(budget) - grant.least_spent_tokens()
+                state.consumed_tokens(budget) - grant.min_spent_tokens()
                 for budget, grant in state.grants.items()
             )
-            silent = ", ".join(member.name for member in state.silent())
+            silent = ", ".join(member.name for member in state.unclosed_members())
             yield (
                 f"stranded: shard {shard} epoch {state.epoch} {state.data_centre}"
                 f" up to {held} tokens, silent: {silent}"
--- a/mothstand/peers/client.py
+++ b/mothstand/peers/client.py
@@ -92,7 +92,7 @@
         )
         if not answer.taken:
             raise PeerError(f"{witness.name} does not vouch for epoch {batch.epoch}")
-        return MirrorAnswer(sealed=answer.sealed, rejected=frozenset(answer.rejected))
+        return MirrorAnswer(is_sealed=answer.sealed, rejected=frozenset(answer.rejected))
 
     async def reserve(self, address: str, call: ReserveCall, *, timeout_s: float) -> ReserveReply:
         """Ask the instance at `address` for a reservation."""
--- a/mothstand/peers/server.py
+++ b/mothstand/peers/server.py
@@ -58,8 +58,8 @@
         await stream.recv_message()
         await stream.send_message(
             pb.ProbeAnswer(
-                me=identity_to_pb(self._membership.me),
-                leaving=self._membership.leaving,
+                me=identity_to_pb(self._membership.local_member),
+                leaving=self._membership.is_stopping,
                 config_offset=self._config().offset,
                 data_centre=self._membership.data_centre,
             )
@@ -95,7 +95,7 @@
     async def Mirror(self, stream: Stream[pb.MirrorRequest, pb.MirrorReply]) -> None:  # noqa: N802
         """Acknowledge reservations as a witness."""
         request = await _receive(stream)
-        if request.witness_incarnation != self._membership.me.incarnation:
+        if request.witness_incarnation != self._membership.local_member.incarnation:
             await stream.send_message(pb.MirrorReply(taken=False))
             return
         answer = self._ledger.mirror_here(Shard(request.shard), batch_from_pb(request))
@@ -103,7 +103,7 @@
             await stream.send_message(pb.MirrorReply(taken=False))
             return
         await stream.send_message(
-            pb.MirrorReply(taken=True, sealed=answer.sealed, rejected=sorted(answer.rejected))
+            pb.MirrorReply(taken=True, sealed=answer.is_sealed, rejected=sorted(answer.rejected))
         )
 
     async def Config(  # noqa: N802
--- a/mothstand/platform/headers.py
+++ b/mothstand/platform/headers.py
@@ -9,7 +9,7 @@
     HeaderTranslator,
     RawHeaders,
     UpstreamFields,
-    without,
+    without_headers,
 )
 
 _REQUEST_ID = "X-Request-Id"
@@ -24,14 +24,14 @@
 _WORKSPACE = "X-Tenant"
 # 0 is the most urgent.
 _PRIORITY = "X-Request-Priority"
-_NOT_RUN = "X-Not-Executed"
+_NOT_EXECUTED = "X-Not-Executed"
 _RETRY_AFTER = "Retry-After"
 
-_LEAST_URGENT = 9
+_LOWEST_PRIORITY = 9
 _MISDIRECTED = 421
 
 #: Concern one connection only.
-_HOP_BY_HOP = frozenset(
+_HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
         "keep-alive",
@@ -49,7 +49,7 @@
 
 #: Only the fleet may set these: a caller could spend another's tokens, jump queues or take up
 #: memory of upstreams with them.
-_RESERVED = frozenset(
+_RESERVED_HEADERS = frozenset(
     name.lower()
     for name in (
         _KEY,
@@ -68,7 +68,7 @@
 )
 
 
-def _named(headers: RawHeaders, name: str) -> str:
+def _header_value(headers: RawHeaders, name: str) -> str:
     wanted = name.lower()
     return next((value.strip() for key, value in headers if key.lower() == wanted), "")
 
@@ -78,46 +78,50 @@
 
     def read_caller(self, headers: RawHeaders) -> CallerFields:
         """Return what a caller says."""
-        deadline = _named(headers, _DEADLINE)
+        deadline = _header_value(headers, _DEADLINE)
         try:
             deadline_s = float(deadline) / 1000 if deadline else None
         except ValueError:
             raise ValueError(f"{_DEADLINE} {deadline!r}: write milliseconds") from None
         return CallerFields(
-            request_id=_named(headers, _REQUEST_ID),
-            host=_named(headers, "Host"),
-            key=_named(headers, _KEY),
+            request_id=_header_value(headers, _REQUEST_ID),
+            host=_header_value(headers, "Host"),
+            key=_header_value(headers, _KEY),
             deadline_s=deadline_s,
-            last_event_id=_named(headers, _LAST_EVENT_ID),
-            prompt=_prompt(headers),
+            last_event_id=_header_value(headers, _LAST_EVENT_ID),
+            prompt=_read_prompt(headers),
         )
 
     def to_upstream(self, headers: RawHeaders, fields: ForwardFields) -> RawHeaders:
         """Return a caller's headers as an upstream gets them."""
-        passed = without(headers, _HOP_BY_HOP | _RESERVED | _listed_in_connection(headers))
-        passed.append((_UPSTREAM_ID, fields.upstream_id))
-        passed.append((_DEADLINE, str(max(1, int(fields.remaining_s * 1000)))))
-        passed.append((_PRIORITY, str(min(_LEAST_URGENT, max(0, fields.priority)))))
+        forwarded = without_headers(
+            headers, _HOP_BY_HOP_HEADERS | _RESERVED_HEADERS | _connection_specific_headers(headers)
+        )
+        forwarded.append((_UPSTREAM_ID, fields.upstream_id))
+        forwarded.append((_DEADLINE, str(max(1, int(fields.remaining_s * 1000)))))
+        forwarded.append((_PRIORITY, str(min(_LOWEST_PRIORITY, max(0, fields.priority)))))
         if fields.workspace:
-            passed.append((_WORKSPACE, fields.workspace))
+            forwarded.append((_WORKSPACE, fields.workspace))
         if fields.last_event_id:
-            passed.append((_LAST_EVENT_ID, fields.last_event_id))
-        return tuple(passed)
+            forwarded.append((_LAST_EVENT_ID, fields.last_event_id))
+        return tuple(forwarded)
 
     def read_upstream(self, status: int, headers: RawHeaders) -> UpstreamFields:
         """Return what an upstream says of its answer."""
         return UpstreamFields(
-            request_id=_named(headers, _REQUEST_ID),
-            not_run=bool(_named(headers, _NOT_RUN)),
-            misdirected=status == _MISDIRECTED,
-            last=_named(headers, "Connection").lower() == "close",
+            request_id=_header_value(headers, _REQUEST_ID),
+            has_not_run=bool(_header_value(headers, _NOT_EXECUTED)),
+            is_misdirected=status == _MISDIRECTED,
+            closes_connection=_header_value(headers, "Connection").lower() == "close",
         )
 
     def to_caller(self, headers: RawHeaders) -> RawHeaders:
         """Return an upstream's headers as a caller gets them."""
-        return tuple(without(headers, _HOP_BY_HOP | _listed_in_connection(headers)))
+        return tuple(
+            without_headers(headers, _HOP_BY_HOP_HEADERS | _connection_specific_headers(headers))
+        )
 
-    def of_refusal(self, request_id: str, retry_after_s: float | None) -> RawHeaders:
+    def refusal_headers(self, request_id: str, retry_after_s: float | None) -> RawHeaders:
         """Return the headers of an answer of the gateway's own."""
         headers = [("Content-Type", "application/json")]
         if request_id:
@@ -127,16 +131,16 @@
         return tuple(headers)
 
 
-def _prompt(headers: RawHeaders) -> Prompt:
-    counts = _named(headers, _TOKENS)
+def _read_prompt(headers: RawHeaders) -> Prompt:
+    counts = _header_value(headers, _TOKENS)
     if not counts:
         return Prompt()
     input_tokens, max_output_tokens = parse_token_counts(counts)
-    parts = parse_parts(_named(headers, _PARTS))
-    return Prompt(_named(headers, _MODEL), input_tokens, max_output_tokens, parts)
+    parts = parse_parts(_header_value(headers, _PARTS))
+    return Prompt(_header_value(headers, _MODEL), input_tokens, max_output_tokens, parts)
 
 
-def _listed_in_connection(headers: RawHeaders) -> frozenset[str]:
+def _connection_specific_headers(headers: RawHeaders) -> frozenset[str]:
     """Return the headers that a sender declares to be of its connection only."""
-    names = _named(headers, "Connection").lower().split(",")
+    names = _header_value(headers, "Connection").lower().split(",")
     return frozenset(name.strip() for name in names if name.strip())
--- a/mothstand/platform/records.py
+++ b/mothstand/platform/records.py
@@ -31,7 +31,7 @@
 
 #: What an upstream's id may look like. It is sent on as a header's value, where a line break or a
 #: byte outside of ASCII would make the request unreadable.
-_UPSTREAM_ID = re.compile(r"[!-~]{1,200}")
+_UPSTREAM_ID_PATTERN = re.compile(r"[!-~]{1,200}")
 
 
 class _Destination(BaseModel):
@@ -120,7 +120,7 @@
     try:
         wire = _Config.model_validate_json(data)
     except ValidationError as error:
-        raise ValueError(f"not a configuration: {_faults(error)}") from error
+        raise ValueError(f"not a configuration: {_error_summary(error)}") from error
     return GatewayConfig(
         version=wire.version,
         routes=tuple(_route(route) for route in wire.routes),
@@ -150,8 +150,8 @@
         priority=wire.priority,
         destinations=destinations or (Destination(wire.service, 1.0),),
         attempts=max(1, wire.attempts),
-        public=wire.public,
-        resumable=wire.resumable,
+        is_public=wire.public,
+        is_resumable=wire.resumable,
     )
 
 
@@ -170,24 +170,24 @@
     ValueError
         Naming the fields at fault.
     """
-    if not _UPSTREAM_ID.fullmatch(upstream_id):
+    if not _UPSTREAM_ID_PATTERN.fullmatch(upstream_id):
         raise ValueError(f"not a registration: {upstream_id!r} cannot be an upstream's id")
     try:
         wire = _Server.model_validate_json(data)
     except ValidationError as error:
-        raise ValueError(f"not a registration: {_faults(error)}") from error
+        raise ValueError(f"not a registration: {_error_summary(error)}") from error
     return RegisteredUpstream(
         upstream_id=upstream_id,
         service=wire.service,
         address=wire.address,
         data_centre=DataCentre(wire.zone),
         slots=wire.slots,
-        draining=wire.state == _DRAINING,
+        is_draining=wire.state == _DRAINING,
         born_ms=wire.born,
     )
 
 
-def _faults(error: ValidationError) -> str:
+def _error_summary(error: ValidationError) -> str:
     """Return the first faults, each with the field and what is wrong, without all of the input."""
     faults = error.errors(include_url=False, include_input=False, include_context=False)[:3]
     return "; ".join(f"{'.'.join(map(str, f['loc']))}: {f['msg']}" for f in faults)
--- a/mothstand/platform/store.py
+++ b/mothstand/platform/store.py
@@ -33,7 +33,7 @@
 #: The key of a record that has none; no stream has a use for it.
 _NO_KEY = ""
 
-_LENGTH = struct.Struct(">I")
+_RECORD_LENGTH = struct.Struct(">I")
 _PAGE_HEAD = struct.Struct(">QQ")
 
 
@@ -57,7 +57,7 @@
     """Return a keyed record in the store's binary form."""
     key = record.key.encode()
     content = bytes([len(key)]) + key + (record.value or b"")
-    return _LENGTH.pack(len(content)) + content
+    return _RECORD_LENGTH.pack(len(content)) + content
 
 
 def decode_page(data: bytes, from_offset: int) -> StreamPage:
@@ -74,12 +74,12 @@
     position = _PAGE_HEAD.size
     offset = from_offset
     while position < len(data):
-        (length,) = _LENGTH.unpack_from(data, position)
-        content = data[position + _LENGTH.size : position + _LENGTH.size + length]
+        (length,) = _RECORD_LENGTH.unpack_from(data, position)
+        content = data[position + _RECORD_LENGTH.size : position + _RECORD_LENGTH.size + length]
         if len(content) < length:
             raise ValueError(f"record {offset} is cut off")
         records.append(_decode_record(content, offset))
-        position += _LENGTH.size + length
+        position += _RECORD_LENGTH.size + length
         offset += 1
     return StreamPage(tuple(records), offset)
 
@@ -109,7 +109,7 @@
 
     def __init__(self, settings: StoreSection) -> None:
         self._settings = settings
-        self._base = f"http://{settings.address}"
+        self._base_url = f"http://{settings.address}"
         self._connector = connector(connect_limit=8, user_timeout_s=settings.timeout_s)
         self._http = aiohttp.ClientSession(
             connector=self._connector,
@@ -127,7 +127,7 @@
         status, _ = await self._call("POST", "/log-append", params, body=body)
         if status == _CONFLICT:
             raise StoreConflictError(f"{stream}: does not end at {at_offset}")
-        _check(status, "append")
+        _raise_for_status(status, "append")
 
     async def read(self, stream: Stream, from_offset: int, *, wait_s: float = 0.0) -> StreamPage:
         """Return records from an offset on, waiting for the first one."""
@@ -141,7 +141,7 @@
         status, data = await self._call("GET", "/log-read", params, wait_s=wait_s)
         if status == _GONE:
             raise StoreTrimmedError(f"{stream}: {from_offset} is not kept")
-        _check(status, "read")
+        _raise_for_status(status, "read")
         try:
             return decode_page(data, from_offset)
         except (ValueError, struct.error) as error:
@@ -154,10 +154,10 @@
         end: int | None = None
         while True:
             status, data = await self._call("GET", "/log-newest", params)
-            _check(status, "listing")
+            _raise_for_status(status, "listing")
             try:
                 page = _Listing.model_validate_json(data)
-                records += [_record(item) for item in page.items]
+                records += [_decode_item(item) for item in page.items]
             except (ValidationError, ValueError) as error:
                 raise StoreSilentError(f"{stream}: {error}") from error
             # Pages are no snapshot: what changes meanwhile is read again from the first end on.
@@ -189,7 +189,7 @@
         )
         try:
             async with self._http.request(
-                method, self._base + path, params=params, data=body, timeout=timeout
+                method, self._base_url + path, params=params, data=body, timeout=timeout
             ) as response:
                 return response.status, await response.read()
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
@@ -200,7 +200,7 @@
             raise StoreSilentError(f"{path}: {error!r}") from error
 
 
-def _record(item: _Item) -> KeyedRecord:
+def _decode_item(item: _Item) -> KeyedRecord:
     if not item.value:
         return KeyedRecord(item.key, None, item.offset)
     try:
@@ -211,7 +211,7 @@
     return KeyedRecord(item.key, value, item.offset)
 
 
-def _check(status: int, what: str) -> None:
+def _raise_for_status(status: int, operation: str) -> None:
     """Raise unless a call was done; the store says with any other status that it was not."""
     if status != _OK:
-        raise StoreError(f"{what}: status {status}")
+        raise StoreError(f"{operation}: status {status}")
--- a/mothstand/process_start.py
+++ b/mothstand/process_start.py
@@ -26,7 +26,7 @@
     """
 
     started_s: float
-    callers: socket.socket | None = None
+    callers_socket: socket.socket | None = None
 
 
 def listen_early(path: str) -> socket.socket | None:
--- a/mothstand/settings/folder.py
+++ b/mothstand/settings/folder.py
@@ -24,7 +24,7 @@
 from ..core.escrow import EscrowPolicy
 from ..errors import SettingsError
 from ..types import BudgetName, DataCentre
-from .ini import SectionModel, Words, read_file, read_section
+from .ini import SectionModel, Words, read_ini_file, read_section
 
 if TYPE_CHECKING:
     from pathlib import Path
@@ -123,7 +123,7 @@
     at_utc: datetime = Field(description="a UTC time as 2026-12-24T03:00:00Z")
 
 
-MODELS: dict[str, type[SectionModel]] = {
+SECTION_MODELS: dict[str, type[SectionModel]] = {
     "policy": PolicySection,
     "workspace": WorkspaceSection,
     "key": KeySection,
@@ -151,7 +151,7 @@
     merged: Sections = {}
     source: dict[str, str] = {}
     for path in files:
-        for section, values in read_file(path).items():
+        for section, values in read_ini_file(path).items():
             merged.setdefault(section, {}).update(values)
             source[section] = path.name
     validate_sections(merged, source=source)
@@ -171,30 +171,34 @@
     SettingsError
         Naming file, section, key, bad value and what to write.
     """
-    models: dict[str, dict[str, SectionModel]] = {kind: {} for kind in MODELS}
+    models: dict[str, dict[str, SectionModel]] = {kind: {} for kind in SECTION_MODELS}
     for header, values in sections.items():
         kind, _, name = header.partition(" ")
-        where = (source or {}).get(header, "configuration")
-        _check_header(header, kind, name, where)
-        models[kind][name] = read_section(MODELS[kind], values, section=header, source=where)
-    config = _build(models)
+        file_name = (source or {}).get(header, "configuration")
+        _check_header(header, kind, name, file_name)
+        models[kind][name] = read_section(
+            SECTION_MODELS[kind], values, section=header, source=file_name
+        )
+    config = _build_config(models)
     _check_references(config, source or {})
     return config
 
 
-def _check_header(header: str, kind: str, name: str, where: str) -> None:
-    if kind not in MODELS:
-        raise SettingsError(f"{where}: [{header}] is unknown; write one of {', '.join(MODELS)}")
+def _check_header(header: str, kind: str, name: str, file_name: str) -> None:
+    if kind not in SECTION_MODELS:
+        raise SettingsError(
+            f"{file_name}: [{header}] is unknown; write one of {', '.join(SECTION_MODELS)}"
+        )
     if kind == "policy":
         if name:
-            raise SettingsError(f"{where}: [{header}]: write [policy], without a name")
+            raise SettingsError(f"{file_name}: [{header}]: write [policy], without a name")
     elif not _NAME.fullmatch(name):
         raise SettingsError(
-            f"{where}: [{header}]: the name {name!r} must be 1 to 63 of a-z 0-9 . _ -"
+            f"{file_name}: [{header}]: the name {name!r} must be 1 to 63 of a-z 0-9 . _ -"
         )
 
 
-def _build(models: dict[str, dict[str, SectionModel]]) -> FleetConfig:
+def _build_config(models: dict[str, dict[str, SectionModel]]) -> FleetConfig:
     # model_dump of a validated model gives just the keyword arguments of its data class.
     policy = models["policy"].get("", PolicySection.model_validate({})).model_dump()
     escrow = {name: policy.pop(name) for name in EscrowPolicy.__dataclass_fields__}
@@ -228,8 +232,8 @@
 def _check_references(config: FleetConfig, source: dict[str, str]) -> None:
     for key in config.keys_by_sha256.values():
         header = f"key {key.name}"
-        _check_known(key.workspace, config.workspaces, header, "workspace", source)
-        _check_known(key.budget, config.budgets, header, "budget", source)
+        _check_declared(key.workspace, config.workspaces, header, "workspace", source)
+        _check_declared(key.budget, config.budgets, header, "budget", source)
         if config.budgets[key.budget].workspace != key.workspace:
             raise SettingsError(
                 f"{source.get(header, 'configuration')}: [{header}] budget = {key.budget!r}"
@@ -238,27 +242,27 @@
             )
     for budget in config.budgets.values():
         header = f"budget {budget.name}"
-        _check_known(budget.workspace, config.workspaces, header, "workspace", source)
+        _check_declared(budget.workspace, config.workspaces, header, "workspace", source)
     for stop in config.stops.values():
-        _check_known(stop.upstream, config.upstreams, f"stop {stop.upstream}", "name", source)
+        _check_declared(stop.upstream, config.upstreams, f"stop {stop.upstream}", "name", source)
     for upstream in config.upstreams.values():
         if upstream.kind is UpstreamKind.SERVICE:
             for name in upstream.serves:
                 header = f"upstream {upstream.name}"
-                _check_known(name, config.services, header, "serves", source)
+                _check_declared(name, config.services, header, "serves", source)
     _check_models(config, source)
 
 
 def _check_models(config: FleetConfig, source: dict[str, str]) -> None:
     for model in config.models.values():
         if model.base:
-            _check_known(model.base, config.models, f"model {model.name}", "base", source)
+            _check_declared(model.base, config.models, f"model {model.name}", "base", source)
     for upstream in config.upstreams.values():
         if upstream.orders is OrderCheck.NONE:
             continue
         header = f"upstream {upstream.name}"
         for name in upstream.serves:
-            _check_known(name, config.models, header, "serves", source)
+            _check_declared(name, config.models, header, "serves", source)
             base = config.models[name].base
             if base and base not in upstream.serves:
                 raise SettingsError(
@@ -268,9 +272,11 @@
                 )
 
 
-def _check_known(value: str, known: object, header: str, key: str, source: dict[str, str]) -> None:
-    if isinstance(known, dict) and value not in known:
-        names = ", ".join(sorted(known)[:5]) or "none yet"
+def _check_declared(
+    value: str, declared: object, header: str, key: str, source: dict[str, str]
+) -> None:
+    if isinstance(declared, dict) and value not in declared:
+        names = ", ".join(sorted(declared)[:5]) or "none yet"
         raise SettingsError(
             f"{source.get(header, 'configuration')}: [{header}] {key} = {value!r} is not declared;"
             f" write one of: {names}"
--- a/mothstand/settings/ini.py
+++ b/mothstand/settings/ini.py
@@ -13,12 +13,12 @@
     from pathlib import Path
 
 
-def _words(value: object) -> object:
+def _split_words(value: object) -> object:
     return tuple(value.replace(",", " ").split()) if isinstance(value, str) else value
 
 
 #: Words apart by spaces or commas.
-Words = Annotated[tuple[str, ...], BeforeValidator(_words)]
+Words = Annotated[tuple[str, ...], BeforeValidator(_split_words)]
 
 
 class SectionModel(BaseModel):
@@ -30,7 +30,7 @@
 _Model = TypeVar("_Model", bound=SectionModel)
 
 
-def read_file(path: Path) -> dict[str, dict[str, str]]:
+def read_ini_file(path: Path) -> dict[str, dict[str, str]]:
     """Return the sections of one INI file.
 
     Raises
@@ -66,11 +66,11 @@
     sentences = []
     for fault in error.errors():
         key = str(fault["loc"][0]) if fault["loc"] else "(section)"
-        known = model.model_fields.get(key)
+        field = model.model_fields.get(key)
         if fault["type"] == "extra_forbidden":
             hint = f"remove it; known keys are {', '.join(model.model_fields)}"
-        elif known is not None and known.description:
-            hint = f"write {known.description}"
+        elif field is not None and field.description:
+            hint = f"write {field.description}"
         else:
             hint = fault["msg"]
         value = "missing" if fault["type"] == "missing" else repr(fault["input"])
@@ -86,7 +86,7 @@
     SettingsError
         Naming file, section, key, bad value and what to write.
     """
-    sections = read_file(path)
+    sections = read_ini_file(path)
     unknown = sorted(set(sections) - set(models))
     if unknown:
         raise SettingsError(
--- a/mothstand/settings/instance.py
+++ b/mothstand/settings/instance.py
@@ -117,7 +117,7 @@
         return DataCentre(self.instance.data_centre)
 
 
-SECTIONS: dict[str, type[SectionModel]] = {
+INSTANCE_SECTIONS: dict[str, type[SectionModel]] = {
     "instance": InstanceSection,
     "listen": ListenSection,
     "platform": PlatformSection,
@@ -135,4 +135,4 @@
     SettingsError
         Naming file, section, key, bad value and what to write.
     """
-    return InstanceSettings(**read_sections(path, SECTIONS))  # type: ignore[arg-type]
+    return InstanceSettings(**read_sections(path, INSTANCE_SECTIONS))  # type: ignore[arg-type]
--- a/mothstand/settings/operator.py
+++ b/mothstand/settings/operator.py
@@ -8,7 +8,7 @@
 from pydantic import Field
 
 from ..errors import SettingsError
-from .ini import SectionModel, read_file, read_section
+from .ini import SectionModel, read_ini_file, read_section
 from .instance import PlatformSection, SecretsSection
 
 if TYPE_CHECKING:
@@ -41,7 +41,7 @@
     SettingsError
         Naming file, section, key, bad value and what to write.
     """
-    sections = read_file(path)
+    sections = read_ini_file(path)
     known = {"operator", "platform", "secrets"}
     unknown = sorted(set(sections) - known)
     if unknown:
--- a/mothstand/testing/budget_fleet.py
+++ b/mothstand/testing/budget_fleet.py
@@ -20,7 +20,7 @@
 from ..errors import Refusal
 from ..gateway.accounts import Accounts
 from ..gateway.member_feed import MEMBERS_STREAM, MemberFeed
-from ..log.health import LogHealth
+from ..log.health import PlatformHealth
 from ..peers.failures import PeerError
 from ..settings.gateway import (
     GatewayInstanceSection,
@@ -104,7 +104,7 @@
         await self._reach(address)
         self._fleet.instances[address].accounts.take_over(handover)
 
-    async def registrations_followed_s(self, address: str) -> float:
+    async def registrations_gapless_s(self, address: str) -> float:
         """Return 0 for one that lives: nobody reads registrations."""
         await self._reach(address)
         return 0.0
@@ -220,13 +220,13 @@
         ended = self.instances[address]
         self.dead.add(address)
         if drains_s:
-            ended.accounts.begin_leaving()
+            ended.accounts.begin_stopping()
             await anyio.sleep(drains_s)
         if gives_back:
-            await ended.accounts.leave(until_s=anyio.current_time() + _STOP_S)
+            await ended.accounts.stop(until_s=anyio.current_time() + _STOP_S)
         ended.kill()
         await anyio.sleep(down_s)
-        me = ended.members.fleet.me
+        me = ended.members.fleet.local_member
         self._start(me.peer.instance, me.data_centre)
         self.dead.discard(address)
 
@@ -245,7 +245,10 @@
     def recorded_spent_tokens(self) -> int:
         """What all instances together would write as spent."""
         shards = [shard for i in self.instances.values() for shard in i.accounts.shards]
-        return sum(shard.keeper.book.of(_BUDGET).recorded_spent_tokens for shard in shards)
+        return sum(
+            shard.claim_manager.claims.held_budget(_BUDGET).recorded_spent_tokens
+            for shard in shards
+        )
 
     async def _request(self, accounts: Accounts, tokens: int, is_answered: bool) -> None:
         self.counts["asked"] += 1
@@ -269,7 +272,7 @@
         self._starts += 1
         address = f"{name}:1"
         clock = VirtualClock()
-        health = LogHealth(clock)
+        health = PlatformHealth(clock)
         link = _SlowStoreLink(self._store, self)
         link.is_cut = self.is_cut
         self._links.append(link)
@@ -277,7 +280,7 @@
         members = MemberFeed(
             link, Member(me, data_centre), clock, health, lambda: None, RETRIES, started_s=0.0
         )
-        members.fleet = FleetView(members.fleet.me, self.claimants)
+        members.fleet = FleetView(members.fleet.local_member, self.claimants)
         accounts = Accounts(
             _settings(name, data_centre),
             me,
--- a/mothstand/testing/checker.py
+++ b/mothstand/testing/checker.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING
 
 from ..standins.engine import answer_tokens
-from .load import CallRecord, Got
+from .load import CallOutcome, CallRecord
 
 if TYPE_CHECKING:
     from ..core.records import BillLine
@@ -76,7 +76,7 @@
     billed = {line.request_id: line.tokens for line in history.bill_lines}
     found = []
     for call in history.calls:
-        if call.got is not Got.WHOLE:
+        if call.outcome is not CallOutcome.WHOLE:
             continue
         tokens = billed.get(call.request_id)
         if tokens is None:
@@ -93,7 +93,9 @@
     return [
         f"{call.prompt!r} was refused as not run and ran"
         for call in history.calls
-        if call.got is Got.REFUSED and call.run_state == "not run" and call.prompt in seen
+        if call.outcome is CallOutcome.REFUSED
+        and call.run_state == "not run"
+        and call.prompt in seen
     ]
 
 
@@ -101,8 +103,8 @@
     found = []
     for call in history.calls:
         right = "".join(answer_tokens(call.prompt, call.max_tokens))
-        if call.got is Got.WHOLE and call.text != right:
+        if call.outcome is CallOutcome.WHOLE and call.text != right:
             found.append(f"{call.prompt!r} got {call.text!r}, not {right!r}")
-        if call.got is Got.BROKEN and not right.startswith(call.text):
+        if call.outcome is CallOutcome.BROKEN and not right.startswith(call.text):
             found.append(f"{call.prompt!r} got another's beginning, {call.text!r}")
     return found
--- a/mothstand/testing/claim_histories.py
+++ b/mothstand/testing/claim_histories.py
@@ -24,13 +24,13 @@
 
 from ..clock import Clock
 from ..core.claim_policy import ClaimPolicy
-from ..core.claims import Claim, ClaimBook, HeldBudget, Holder, Reservation, Usage
-from ..core.loans import LoanBook, Peer
+from ..core.claims import Claim, HeldBudget, Holder, LocalClaims, Reservation, Usage
+from ..core.loans import LoanLog, Peer
 from ..core.renewals import Opening, RenewalLog
-from ..gateway.claim_keeper import ClaimKeeper
+from ..gateway.claim_manager import ClaimManager
 from ..gateway.ledger_records import claims_stream, decode
 from ..gateway.store import StoreError
-from ..log.health import LogHealth
+from ..log.health import PlatformHealth
 from ..types import BudgetName, Shard
 from .memory_store import MemoryStore, StoreLink, random_fate
 
@@ -46,7 +46,7 @@
 _JUMPING = 1
 
 
-class Plant(Enum):
+class InjectedFault(Enum):
     """Faults planted on purpose, which the histories must find."""
 
     NONE = "none"
@@ -96,18 +96,18 @@
         raise OverspentError(otherwise)
 
 
-class _DoubtlessBook(ClaimBook):
+class _DoubtlessBook(LocalClaims):
     """The planted fault that forgets appends without an answer."""
 
-    def _settle_limits(self) -> None:
-        self.doubts.clear()
-        super()._settle_limits()
+    def _update_limits(self) -> None:
+        self.unconfirmed_appends.clear()
+        super()._update_limits()
 
 
 class _CredulousLog(RenewalLog):
     """The planted fault that takes every death for a proven one."""
 
-    def longest_gap_s(self, *_: object) -> float:
+    def max_gap_s(self, *_: object) -> float:
         """Return that it was in touch to the end."""
         return 0.0
 
@@ -119,8 +119,8 @@
     machine: _Machine
     clock: Clock
     link: StoreLink
-    keeper: ClaimKeeper
-    loans: LoanBook
+    keeper: ClaimManager
+    loans: LoanLog
     running: list[Reservation] = field(default_factory=list)
 
 
@@ -146,14 +146,18 @@
     """
 
     def __init__(
-        self, rng: random.Random, plant: Plant = Plant.NONE, *, hands_over: bool = False
+        self,
+        rng: random.Random,
+        plant: InjectedFault = InjectedFault.NONE,
+        *,
+        hands_over: bool = False,
     ) -> None:
         self._hands_over = hands_over
         self.now_s = 1000.0
         self.counts: Counter[str] = Counter()
         self._rng = rng
         self._plant = plant
-        self._store = MemoryStore(conditional=plant is not Plant.NO_CONDITION)
+        self._store = MemoryStore(conditional=plant is not InjectedFault.NO_CONDITION)
         self._paid = {budget: rng.randrange(400, 3000) for budget in _BUDGETS}
         self._ended: dict[tuple[BudgetName, Holder], HeldBudget] = {}
         self._claims: dict[tuple[BudgetName, Holder], Claim] = {}
@@ -203,7 +207,9 @@
     def _all_held(self, budget: BudgetName) -> list[tuple[Holder, HeldBudget]]:
         """Return what each process, living or dead, holds of a budget."""
         ended = [(holder, held) for (b, holder), held in self._ended.items() if b == budget]
-        living = [(p.keeper.book.me, p.keeper.book.of(budget)) for p in self._processes]
+        living = [
+            (p.keeper.claims.holder, p.keeper.claims.held_budget(budget)) for p in self._processes
+        ]
         return ended + living
 
     def _check(self) -> None:
@@ -227,7 +233,7 @@
         """Take the claims that were appended since the last check."""
         page = self._store.read(claims_stream(Shard(0)), self._read_offset)
         self._read_offset = page.next_offset
-        living = {process.keeper.book.me for process in self._processes}
+        living = {process.keeper.claims.holder for process in self._processes}
         for record in page.records:
             decoded = decode(record)
             if isinstance(decoded, Claim):
@@ -241,23 +247,23 @@
         me = Peer(machine.name, f"start-{self._starts}", f"{machine.name}:1")
         clock = _MachineClock(self, machine)
         link = StoreLink(self._store, random_fate(self._rng, failing=0.1))
-        policy = ClaimPolicy(silent_after_s=8.0, lull_share=0.0, slack=0.02, base_share=0.1)
-        keeper = ClaimKeeper(
+        policy = ClaimPolicy(stale_after_s=8.0, min_demand_share=0.0, slack=0.02, base_share=0.1)
+        keeper = ClaimManager(
             Shard(0),
             me,
             link,
             clock,
-            LogHealth(clock),
+            PlatformHealth(clock),
             policy,
             lambda: dict(self._paid),
             lambda: _MACHINES,
             1.0,
             lambda: None,
         )
-        loans = LoanBook()
-        if self._plant is Plant.LAST_READ_CLAIM:
-            keeper.book = _DoubtlessBook(keeper.book.me)
-        if self._plant is Plant.NO_PROOF:
+        loans = LoanLog()
+        if self._plant is InjectedFault.LAST_READ_CLAIM:
+            keeper.claims = _DoubtlessBook(keeper.claims.holder)
+        if self._plant is InjectedFault.NO_PROOF:
             keeper.succession.renewals = _CredulousLog()
         return _Process(machine, clock, link, keeper, loans)
 
@@ -266,23 +272,25 @@
 
     def _update_opening(self, process: _Process) -> None:
         process.keeper.update_opening()
-        if self._plant is Plant.NEVER_LOCKED:
-            process.keeper.book.open(Opening(1.0, all_claimed=True))
-        if self._plant is Plant.WIDE_OPEN:
-            process.keeper.book.open(replace(process.keeper.book.opening, window_share=1.0))
+        if self._plant is InjectedFault.NEVER_LOCKED:
+            process.keeper.claims.set_opening(Opening(1.0, is_full=True))
+        if self._plant is InjectedFault.WIDE_OPEN:
+            process.keeper.claims.set_opening(
+                replace(process.keeper.claims.opening, window_share=1.0)
+            )
 
     async def _request(self) -> None:
         process = self._any()
         budget = self._rng.choice(_BUDGETS)
         tokens = self._rng.randrange(1, _MOST_REQUEST_TOKENS)
-        process.keeper.demand_on(budget).ask(tokens, 0, process.clock.monotonic_s())
+        process.keeper.demand_for(budget).add_request(tokens, 0, process.clock.monotonic_s())
         self._update_opening(process)
-        reservation = process.keeper.book.of(budget).reserve(tokens)
+        reservation = process.keeper.claims.held_budget(budget).reserve(tokens)
         if reservation is not None:
             process.running.append(reservation)
             self.counts["served"] += 1
-            self.counts["unlocked"] += process.keeper.book.opening.all_claimed
-            self.counts["opened"] += 0.0 < process.keeper.book.opening.window_share < 1.0
+            self.counts["unlocked"] += process.keeper.claims.opening.is_full
+            self.counts["opened"] += 0.0 < process.keeper.claims.opening.window_share < 1.0
 
     async def _settle(self) -> None:
         process = self._any()
@@ -290,14 +298,16 @@
             reservation = process.running.pop(self._rng.randrange(len(process.running)))
             used = self._rng.randrange(0, reservation.tokens + 1)
             sure = self._rng.choice((0, used))
-            process.keeper.book.of(reservation.budget).settle(reservation, Usage(used, sure))
+            process.keeper.claims.held_budget(reservation.budget).settle(
+                reservation, Usage(used, sure)
+            )
 
     async def _look(self) -> None:
         await self._look_at(self._any())
 
     async def _look_at(self, process: _Process) -> None:
         try:
-            await process.keeper.look()
+            await process.keeper.poll()
         except StoreError:
             self.counts["silent"] += 1
 
@@ -313,14 +323,14 @@
         if self._rng.random() < 0.3:
             self._lost_loans.append(loan)
             return
-        borrower.keeper.book.of(budget).receive(given)
+        borrower.keeper.claims.held_budget(budget).receive(given)
         self.counts["lent"] += given > 0
 
     def _give(self, loan: _LostLoan) -> int:
         self._update_opening(loan.lender)
-        held = loan.lender.keeper.book.of(loan.budget)
+        held = loan.lender.keeper.claims.held_budget(loan.budget)
         return loan.lender.loans.lend(
-            held, loan.loan_id, kept_tokens=0, needed_tokens=loan.tokens, extra_tokens=0
+            held, loan.loan_id, withheld_tokens=0, needed_tokens=loan.tokens, extra_tokens=0
         )
 
     async def _repeat_loan(self) -> None:
@@ -329,9 +339,9 @@
         loan = self._lost_loans.pop()
         if loan.lender in self._processes and loan.borrower in self._processes:
             given = self._give(loan)
-            loan.borrower.keeper.book.of(loan.budget).receive(given)
-            if self._plant is Plant.LOAN_TWICE:
-                loan.borrower.keeper.book.of(loan.budget).receive(given)
+            loan.borrower.keeper.claims.held_budget(loan.budget).receive(given)
+            if self._plant is InjectedFault.LOAN_TWICE:
+                loan.borrower.keeper.claims.held_budget(loan.budget).receive(given)
             self.counts["repeated"] += 1
 
     async def _hand_over(self) -> None:
@@ -339,17 +349,17 @@
         giver, taker = self._rng.sample(self._processes, 2)
         budget = self._rng.choice(_BUDGETS)
         self._update_opening(giver)
-        tokens = giver.keeper.book.of(budget).give(self._rng.randrange(1, 100))
+        tokens = giver.keeper.claims.held_budget(budget).give(self._rng.randrange(1, 100))
         handover_id = f"handover-{self._rng.randrange(10**9)}"
         if tokens and self._rng.random() > 0.3:
-            held = taker.keeper.book.of(budget)
+            held = taker.keeper.claims.held_budget(budget)
             taker.loans.take_over(held, handover_id, tokens)
             # A connection may carry the same call twice; the id tells.
             taker.loans.take_over(held, handover_id, tokens)
             self.counts["handed over"] += 1
-            if self._plant is Plant.HANDOVER_AGAIN:
+            if self._plant is InjectedFault.HANDOVER_AGAIN:
                 later = self._replaced(taker)
-                later.loans.take_over(later.keeper.book.of(budget), handover_id, tokens)
+                later.loans.take_over(later.keeper.claims.held_budget(budget), handover_id, tokens)
 
     def _replaced(self, process: _Process) -> _Process:
         """Kill a process and return its machine's next start."""
@@ -387,7 +397,9 @@
 
     def _bury(self, process: _Process) -> None:
         for budget in _BUDGETS:
-            self._ended[budget, process.keeper.book.me] = process.keeper.book.of(budget)
+            self._ended[budget, process.keeper.claims.holder] = process.keeper.claims.held_budget(
+                budget
+            )
 
     async def _late(self) -> None:
         self._store.deliver_late()
--- a/mothstand/testing/crash_plants.py
+++ b/mothstand/testing/crash_faults.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING, Any
 
 from ..core.quarantine import Quarantine
-from ..gateway.end_watch import Liveness, LivenessCheck
+from ..gateway.crash_detector import Liveness, LivenessCheck
 from ..gateway.quarantine_feed import QuarantineFeed
 from ..gateway.quarantine_outbox import QuarantineOutbox
 
@@ -15,7 +15,7 @@
     from ..gateway.store import KeyedRecord
 
 
-class CrashPlant(Enum):
+class InjectedFault(Enum):
     """What is wrong with an instance."""
 
     NONE = "none"
@@ -29,7 +29,7 @@
 class _LonelyFeed(QuarantineFeed):
     """Takes nothing from others."""
 
-    def _take(self, record: KeyedRecord, *, source: str) -> bool:
+    def _apply_record(self, record: KeyedRecord, *, source: str) -> bool:
         return False
 
 
@@ -57,7 +57,7 @@
 class _IdleQuarantine(Quarantine):
     """Holds nothing."""
 
-    def is_held(self, digest: RequestDigest, now_s: float) -> bool:
+    def is_quarantined(self, digest: RequestDigest, now_s: float) -> bool:
         """Return False."""
         return False
 
@@ -75,22 +75,22 @@
 
     async def check(self, address: str) -> Liveness:
         """Return that nothing listens."""
-        return Liveness.ENDED
+        return Liveness.NOT_LISTENING
 
 
-_FEEDS: dict[CrashPlant, type[QuarantineFeed]] = {
-    CrashPlant.HOLDS_NOTHING: _IdleFeed,
-    CrashPlant.KEEPS_TO_ITSELF: _LonelyFeed,
-    CrashPlant.TELLS_ONCE: _ForgetfulFeed,
-    CrashPlant.NEVER_CLEARS: _StubbornFeed,
+_FEEDS: dict[InjectedFault, type[QuarantineFeed]] = {
+    InjectedFault.HOLDS_NOTHING: _IdleFeed,
+    InjectedFault.KEEPS_TO_ITSELF: _LonelyFeed,
+    InjectedFault.TELLS_ONCE: _ForgetfulFeed,
+    InjectedFault.NEVER_CLEARS: _StubbornFeed,
 }
 
 
-def plant_feed(plant: CrashPlant) -> type[QuarantineFeed]:
+def plant_feed(plant: InjectedFault) -> type[QuarantineFeed]:
     """Return the kind of feed, with a fault if the plant is one of it."""
     return _FEEDS.get(plant, QuarantineFeed)
 
 
-def planted_check(plant: CrashPlant, right: LivenessCheck) -> LivenessCheck:
+def planted_check(plant: InjectedFault, right: LivenessCheck) -> LivenessCheck:
     """Return a check, with a fault if the plant is one of it."""
-    return _NoCheck() if plant is CrashPlant.TAKES_BREAKS_FOR_ENDS else right
+    return _NoCheck() if plant is InjectedFault.TAKES_BREAKS_FOR_ENDS else right
--- a/mothstand/testing/crash_histories.py
+++ b/mothstand/testing/crash_histories.py
@@ -19,11 +19,11 @@
 
 from ..core.placement import Placement
 from ..core.routes import Destination, RequestKind, Route
-from ..core.stall_watch import StallWatch
+from ..core.stall_detector import StallDetector
 from ..errors import RefusedError
 from ..gateway.call import Call, CallerConnection
+from ..gateway.crash_detector import CrashDetector, Liveness, LivenessCheck
 from ..gateway.crash_guard import CrashGuard
-from ..gateway.end_watch import EndWatch, Liveness, LivenessCheck
 from ..gateway.forward import Forwarder
 from ..gateway.headers import CallerFields, RawHeaders, UpstreamFields
 from ..gateway.metrics import GatewayMetrics
@@ -36,16 +36,16 @@
     UpstreamClient,
 )
 from ..gateway.upstream_feed import UpstreamFeed
-from ..log.health import LogHealth
+from ..log.health import PlatformHealth
 from ..peers.failures import PeerUnreachableError
 from ..platform.headers import PlatformHeaders
 from ..platform.parts import UPSTREAMS_STREAM
 from ..platform.records import decode_upstream
 from ..types import DataCentre
+from .crash_faults import InjectedFault, plant_feed, planted_check
 from .crash_fleet import ENDS, STABLE_WINDOW_S
-from .crash_plants import CrashPlant, plant_feed, planted_check
 from .fakes import RETRIES, NoWitness, SilentPeers
-from .hanging import HangingClock, HangingLink, HangingProcesses
+from .frozen_processes import HangingClock, HangingLink, HangingProcesses
 from .memory_store import MemoryStore, StoreLink, random_fate
 from .registrations import registration
 from .virtual_time import run_in_virtual_time
@@ -78,7 +78,7 @@
 _SKEWS_S = (0.0, 0.0, 0.1, -0.3, -3600.0, 86_400.0)
 
 
-class CrashTrouble(Flag):
+class CrashDisruption(Flag):
     """What may happen in a history, beside the request that ends engines."""
 
     NONE = 0
@@ -89,12 +89,12 @@
     RESETS = auto()
 
 
-ALL_CRASH_TROUBLES = (
-    CrashTrouble.KILLS
-    | CrashTrouble.STORE_AWAY
-    | CrashTrouble.FREEZES
-    | CrashTrouble.ENGINES_CRASH
-    | CrashTrouble.RESETS
+ALL_CRASH_DISRUPTIONS = (
+    CrashDisruption.KILLS
+    | CrashDisruption.STORE_AWAY
+    | CrashDisruption.FREEZES
+    | CrashDisruption.ENGINES_CRASH
+    | CrashDisruption.RESETS
 )
 
 
@@ -181,7 +181,7 @@
         await self._history.hanging.thawed(self._name)
         await anyio.sleep(0.001)
         engine = self._history.engines[address]
-        return Liveness.LIVES if engine.is_up else Liveness.ENDED
+        return Liveness.LISTENING if engine.is_up else Liveness.NOT_LISTENING
 
 
 class _Caller(CallerConnection):
@@ -199,9 +199,11 @@
     def abort(self) -> None:
         """Take a break."""
 
-    async def send_whole(self, status: int, reason: str, headers: RawHeaders, body: bytes) -> None:
+    async def send_complete(
+        self, status: int, reason: str, headers: RawHeaders, body: bytes
+    ) -> None:
         """Take an answer."""
-        self.started = True
+        self.is_started = True
 
 
 class _Peers(SilentPeers):
@@ -211,14 +213,14 @@
         self._history = history
         self._name = name
 
-    async def tell_ends(self, address: str, ends: tuple[KeyedRecord, ...]) -> None:
+    async def send_quarantine_records(self, address: str, records: tuple[KeyedRecord, ...]) -> None:
         """Tell an instance that lives."""
         await self._history.hanging.thawed(self._name)
         peer = self._history.alive.get(address)
         if peer is None:
             raise PeerUnreachableError(address)
         await self._history.hanging.thawed(address)
-        peer.feed.take_from_peer(ends)
+        peer.feed.apply_from_peer(records)
 
 
 class _Instance:
@@ -230,7 +232,7 @@
         self.started_s = anyio.current_time()
         self.scope = anyio.CancelScope()
         clock = HangingClock(history.hanging, name, skew_s=history.skew_s(name))
-        health = LogHealth(clock)
+        health = PlatformHealth(clock)
         self.feed = plant_feed(history.plant)(
             link,
             clock,
@@ -241,7 +243,7 @@
             lambda: len(history.alive),
         )
         check = planted_check(history.plant, _Check(history, name))
-        self.watch = EndWatch(check, clock, self.feed.report)
+        self.watch = CrashDetector(check, clock, self.feed.report)
         self.upstreams = UpstreamFeed(
             link, UPSTREAMS_STREAM, clock, health, decode_upstream, self._forget, 1.0, NoWitness()
         )
@@ -254,7 +256,7 @@
             self.upstreams.directory,
             RETRIES,
             lambda: history.instances,
-            StallWatch(),
+            StallDetector(),
             self.guard,
             clock,
             GatewayMetrics(),
@@ -262,7 +264,7 @@
 
     def _forget(self, upstream: RegisteredUpstream) -> None:
         self._placement.forget(upstream)
-        self.watch.gone(upstream)
+        self.watch.note_deregistered(upstream)
 
     async def run(self) -> None:
         """Live until killed."""
@@ -293,8 +295,8 @@
     """
 
     seed: int
-    troubles: CrashTrouble
-    plant: CrashPlant = CrashPlant.NONE
+    troubles: CrashDisruption
+    plant: InjectedFault = InjectedFault.NONE
     has_crashing: bool = True
     popular_share: float = 0.2
     reset_share: float = 0.02
@@ -346,7 +348,7 @@
                 self._result.ends += 1
                 self._end_engine(engine, rng.choice([1.0, 2.0, 4.0]))
             raise ConnectionBrokenError("reset")
-        if CrashTrouble.RESETS in self.troubles and rng.random() < self.reset_share:
+        if CrashDisruption.RESETS in self.troubles and rng.random() < self.reset_share:
             await anyio.sleep(0.02)
             raise ConnectionBrokenError("reset")
         with anyio.move_on_after(rng.choice([0.05, 0.2, 1.0])):
@@ -392,7 +394,7 @@
             for number in range(self.instances):
                 tasks.start_soon(self._start_instance, f"i{number}", 0.0)
             await anyio.sleep(_LEAD_S)
-            for trouble in CrashTrouble:
+            for trouble in CrashDisruption:
                 if trouble in self.troubles:
                     tasks.start_soon(self._series, trouble)
             if self.has_crashing:
@@ -442,25 +444,25 @@
     async def _forward(self, body: bytes, instance: _Instance, request_id: str) -> str:
         call = _call(body, request_id)
         try:
-            async with instance.guard.admitted(call):
+            async with instance.guard.admit(call):
                 await instance.forwarder.run(call, _Caller())
         except RefusedError as error:
             return error.refusal.kind.value
         return "answered"
 
-    async def _series(self, trouble: CrashTrouble) -> None:
+    async def _series(self, trouble: CrashDisruption) -> None:
         """Let one kind of trouble happen again and again."""
         rng = self._chance(trouble)
         while True:
             await anyio.sleep(rng.choice([0.7, 2.0, 4.0, 9.0]))
             match trouble:
-                case CrashTrouble.KILLS:
+                case CrashDisruption.KILLS:
                     self._kill(self._some(rng), rng)
-                case CrashTrouble.STORE_AWAY:
+                case CrashDisruption.STORE_AWAY:
                     await self._cut(self._some(rng), rng.uniform(0.5, 10.0))
-                case CrashTrouble.FREEZES:
+                case CrashDisruption.FREEZES:
                     self._freeze(self._some(rng), rng.uniform(0.5, 4.0))
-                case CrashTrouble.ENGINES_CRASH:
+                case CrashDisruption.ENGINES_CRASH:
                     self._crash_engines(rng)
                 case _:
                     return
@@ -503,7 +505,7 @@
     async def _start_instance(self, name: str, after_s: float) -> None:
         await anyio.sleep(after_s)
         self._starts += 1
-        failing = self.failing_appends if CrashTrouble.STORE_AWAY in self.troubles else 0.0
+        failing = self.failing_appends if CrashDisruption.STORE_AWAY in self.troubles else 0.0
         fate = random_fate(self._chance(name, self._starts), failing=failing)
         link = HangingLink(self._store, self.hanging, name, fate, gives_up_after_s=_GIVES_UP_S)
         link.is_cut = name in self._cut_names
--- a/mothstand/testing/fakes.py
+++ b/mothstand/testing/fakes.py
@@ -11,7 +11,7 @@
 from ..core.membership import Membership
 from ..core.records import Record, RecordId
 from ..core.retry_budget import RetryBudgetSettings
-from ..gateway.lending import Handover, Knowledge, LoanReply, LoanRequest, PeerLink
+from ..gateway.lending import BootstrapState, Handover, LoanReply, LoanRequest, PeerLink
 from ..gateway.store_witness import StoreWitness
 from ..ledger.calls import PeerCalls, ReserveCall, ReserveReply, Ticket
 from ..log.client import LogClient, LogError, LogPage
@@ -35,7 +35,7 @@
 class NoWitness(StoreWitness):
     """Nobody who could tell whether the store was up."""
 
-    async def followed(self, gap_s: float) -> bool:
+    async def read_without_gap(self, gap_s: float) -> bool:
         """Return False: it may have been away."""
         return False
 
@@ -51,15 +51,15 @@
         """Fail."""
         raise PeerError(address)
 
-    async def knowledge(self, address: str) -> Knowledge:
+    async def bootstrap_state(self, address: str) -> BootstrapState:
         """Fail."""
         raise PeerError(address)
 
-    async def registrations_followed_s(self, address: str) -> float:
+    async def registrations_gapless_s(self, address: str) -> float:
         """Fail."""
         raise PeerError(address)
 
-    async def tell_ends(self, address: str, ends: tuple[KeyedRecord, ...]) -> None:
+    async def send_quarantine_records(self, address: str, records: tuple[KeyedRecord, ...]) -> None:
         """Fail."""
         raise PeerError(address)
 
@@ -113,7 +113,7 @@
         return record
 
 
-class FakeBeliefs(Membership):
+class FakeMembership(Membership):
     """Membership whose beliefs a test sets; it may be wrong in every way."""
 
     def __init__(self, me: Member, data_centre: DataCentre) -> None:
@@ -123,20 +123,24 @@
 
     def is_alive(self, member: Member, now_s: float) -> bool:
         """Return what the test says."""
-        return member == self.me or self.believed_alive.get(member.name) == member
+        return member == self.local_member or self.believed_alive.get(member.name) == member
 
-    def is_staying(self, member: Member, now_s: float) -> bool:
+    def is_alive_and_not_stopping(self, member: Member, now_s: float) -> bool:
         """Return what the test says."""
         return self.is_alive(member, now_s)
 
     def find(self, incarnation: str, now_s: float) -> Member | None:
         """Return the member that the test says is alive."""
-        known = [self.me, *self.believed_alive.values(), *self.believed_elsewhere.values()]
+        known = [
+            self.local_member,
+            *self.believed_alive.values(),
+            *self.believed_elsewhere.values(),
+        ]
         return next((m for m in known if m.incarnation == incarnation), None)
 
-    def alive_here(self, now_s: float) -> dict[str, Member]:
+    def local_alive(self, now_s: float) -> dict[str, Member]:
         """Return whom the test says are alive, and this one."""
-        return {**self.believed_alive, self.me.name: self.me}
+        return {**self.believed_alive, self.local_member.name: self.local_member}
 
 
 class NoPeers(PeerCalls):
--- a/mothstand/testing/hanging.py
+++ b/mothstand/testing/frozen_processes.py
@@ -8,7 +8,7 @@
 
 import anyio
 
-from .memory_store import Fate, MemoryStore, StoreLink
+from .memory_store import MemoryStore, StoreCallOutcome, StoreLink
 from .virtual_time import VirtualClock
 
 if TYPE_CHECKING:
@@ -68,7 +68,7 @@
         store: MemoryStore,
         processes: HangingProcesses,
         name: str,
-        fate: Callable[[], Fate],
+        fate: Callable[[], StoreCallOutcome],
         gives_up_after_s: float = 0.0,
     ) -> None:
         super().__init__(store, fate, gives_up_after_s)
--- a/mothstand/testing/histories.py
+++ b/mothstand/testing/histories.py
@@ -26,11 +26,11 @@
 from ..ledger.calls import Ticket
 from ..ledger.shard import ShardNode
 from ..ledger.state import ShardContext
-from ..log.health import LOG_OUT_AFTER_S
+from ..log.health import UNREACHABLE_AFTER_S
 from ..settings.instance import TimingSection
 from ..types import BudgetName, DataCentre, Epoch, Member, Shard
-from .fakes import FakeBeliefs, FakeClock, FakeWriter, NoPeers
-from .plants import PLANTED_FOLDS, Plant, WillingWitness
+from .fakes import FakeClock, FakeMembership, FakeWriter, NoPeers
+from .injected_faults import FAULTY_FOLDS, InjectedFault, UncheckedWitness
 
 if TYPE_CHECKING:
     import random
@@ -63,7 +63,7 @@
 
     node: ShardNode
     writer: FakeWriter[LedgerRecord]
-    beliefs: FakeBeliefs
+    beliefs: FakeMembership
     clock: FakeClock
     read_offset: int = 0
     log_silent_s: float = 0.0
@@ -94,7 +94,7 @@
     """
 
     def __init__(
-        self, rng: random.Random, *, plant: Plant = Plant.NONE, per_place: int = 2
+        self, rng: random.Random, *, plant: InjectedFault = InjectedFault.NONE, per_place: int = 2
     ) -> None:
         self.rng = rng
         self.plant = plant
@@ -203,13 +203,13 @@
         process = self.processes[name]
         place = self.places[name]
         others = [
-            other.beliefs.me
+            other.beliefs.local_member
             for other_name, other in self.processes.items()
             if self.places[other_name] == place and other_name != name
         ]
         believed = [member for member in others if self.rng.random() < 0.6]
         process.beliefs.believed_alive = {member.name: member for member in believed}
-        process.log_silent_s = self.rng.choice((0.0, 0.0, 2 * LOG_OUT_AFTER_S))
+        process.log_silent_s = self.rng.choice((0.0, 0.0, 2 * UNREACHABLE_AFTER_S))
 
     def reserve(self, name: str) -> None:
         """Reserve in the led epoch, or as a promoted witness."""
@@ -240,7 +240,7 @@
         if leading is None or leading[0].witness is None:
             return
         state, account = leading
-        batch = account.take_batch()
+        batch = account.next_batch()
         if batch is None:
             return
         process.old_batches.append(batch)
@@ -253,7 +253,7 @@
             return
         for taken in process.node.reserver.take_answer(account, batch, answer):
             is_return = taken.request_id.startswith("return/")
-            if not is_return and self.plant is not Plant.SPENDS_UNACKNOWLEDGED:
+            if not is_return and self.plant is not InjectedFault.SPENDS_UNACKNOWLEDGED:
                 self._dispatch(state, taken)
 
     def mirror_again(self, name: str) -> None:
@@ -277,7 +277,7 @@
         process = self.processes[name]
         if not process.node.reserver.settle(running.ticket, used, request_id):
             return
-        if self.plant is Plant.SETTLES_TWICE:
+        if self.plant is InjectedFault.SETTLES_TWICE:
             self._settle_twice(process, running, used)
         self._end(request_id, used)
 
@@ -291,7 +291,7 @@
         if self.rng.random() < 0.5:
             return
         self.counts.restarts += 1
-        if self.plant is not Plant.RESTART_KEEPS_IDENTITY:
+        if self.plant is not InjectedFault.RESTART_KEEPS_IDENTITY:
             self._incarnations[name] += 1
         self.processes[name] = self._start(name, self._incarnations[name])
 
@@ -313,7 +313,7 @@
         """
         for request_id, running in list(self.running.items()):
             self._end(request_id, running.bound_tokens)
-        alive = {name: process.beliefs.me for name, process in self.processes.items()}
+        alive = {name: process.beliefs.local_member for name, process in self.processes.items()}
         for _ in range(_EXHAUST_ROUNDS):
             for name, process in self.processes.items():
                 self._catch_up(name, process, alive)
@@ -357,7 +357,7 @@
 
     def _start(self, name: str, incarnation: int) -> Process:
         me = Member(name, f"{name}:{incarnation}", f"{name}:0")
-        beliefs = FakeBeliefs(me, self.places[name])
+        beliefs = FakeMembership(me, self.places[name])
         clock = FakeClock()
         writer: FakeWriter[LedgerRecord] = FakeWriter(me.incarnation)
         process: Process
@@ -380,7 +380,7 @@
         return process
 
     def _make_fold(self) -> LedgerFold:
-        return PLANTED_FOLDS.get(self.plant, LedgerFold)(SHARD)
+        return FAULTY_FOLDS.get(self.plant, LedgerFold)(SHARD)
 
     def _reserve_leading(
         self,
@@ -392,15 +392,15 @@
     ) -> None:
         grant = state.grants.get(BUDGET, Grant())
         lane = account.main_lane
-        if account.witnessed and self.rng.random() < 0.15:
+        if account.has_witness and self.rng.random() < 0.15:
             lane = Lane.OWN
         taken = account.reserve(request_id, BUDGET, bound, grant=grant, lane=lane)
         if taken is None:
             process.node.state.needed_tokens[BUDGET] = bound
             return
         process.node.state.needed_tokens[BUDGET] = 0
-        if lane is Lane.OWN or self.plant is Plant.SPENDS_UNACKNOWLEDGED:
-            self.counts.allowance += account.witnessed
+        if lane is Lane.OWN or self.plant is InjectedFault.SPENDS_UNACKNOWLEDGED:
+            self.counts.allowance += account.has_witness
             self._dispatch(state, taken)
 
     def _dispatch(self, state: EpochState, taken: Reservation) -> None:
@@ -423,7 +423,7 @@
 
     def _pick(self, state: EpochState) -> Process | None:
         """`Plant.HOLDER_PICKS_WITNESS`: another process, which takes itself for the witness."""
-        if self.plant is not Plant.HOLDER_PICKS_WITNESS or self.rng.random() < 0.7:
+        if self.plant is not InjectedFault.HOLDER_PICKS_WITNESS or self.rng.random() < 0.7:
             return None
         assert state.witness is not None
         for name, process in self.processes.items():
@@ -431,7 +431,7 @@
             if here and name not in (state.holder.name, state.witness.name):
                 witnesses = process.node.state.witnesses
                 if state.epoch in process.node.state.fold.epochs:
-                    witnesses.setdefault(state.epoch, WillingWitness(state.epoch))
+                    witnesses.setdefault(state.epoch, UncheckedWitness(state.epoch))
                     return process
         return None
 
--- a/mothstand/testing/plants.py
+++ b/mothstand/testing/injected_faults.py
@@ -14,7 +14,7 @@
     from ..types import BudgetName
 
 
-class Plant(Enum):
+class InjectedFault(Enum):
     """Known faults."""
 
     NONE = auto()
@@ -34,20 +34,20 @@
     SPENDS_UNACKNOWLEDGED = auto()
 
 
-class WillingWitness(WitnessAccount):
+class UncheckedWitness(WitnessAccount):
     """A witness picked in mid-epoch, which takes up the holder's count of batches."""
 
-    def mirror(self, batch: MirrorBatch, grants: dict[BudgetName, Grant]):  # type: ignore[no-untyped-def]
+    def apply_batch(self, batch: MirrorBatch, grants: dict[BudgetName, Grant]):  # type: ignore[no-untyped-def]
         """Acknowledge whatever comes."""
-        self._last_batch = batch.number - 1
-        return super().mirror(batch, grants)
+        self._last_batch_number = batch.number - 1
+        return super().apply_batch(batch, grants)
 
 
 class _PromotionFold(LedgerFold):
     """`Plant.PROMOTION_NOT_HELD_BACK`."""
 
-    def _grant_one(self, state: EpochState, ask) -> None:  # type: ignore[no-untyped-def]
-        super()._grant_one(state, ask)
+    def _grant_ask(self, state: EpochState, ask) -> None:  # type: ignore[no-untyped-def]
+        super()._grant_ask(state, ask)
         grant = state.grants[ask.budget]
         state.grants[ask.budget] = _copy_grant(grant, _ForgetsPromotion)
 
@@ -55,8 +55,8 @@
 class _AllowanceFold(LedgerFold):
     """`Plant.ALLOWANCE_NOT_HELD_BACK`."""
 
-    def _grant_one(self, state: EpochState, ask) -> None:  # type: ignore[no-untyped-def]
-        super()._grant_one(state, ask)
+    def _grant_ask(self, state: EpochState, ask) -> None:  # type: ignore[no-untyped-def]
+        super()._grant_ask(state, ask)
         grant = state.grants[ask.budget]
         state.grants[ask.budget] = _copy_grant(grant, _ForgetsAllowance)
 
@@ -96,22 +96,22 @@
 class _LateReturnFold(LedgerFold):
     """`Plant.LATE_RETURN_COUNTS`."""
 
-    def _return(self, record):  # type: ignore[no-untyped-def]
+    def _return_escrow(self, record):  # type: ignore[no-untyped-def]
         state = self.epochs.get(record.epoch)
-        if state is None or not state.closed:
-            return super()._return(record)
+        if state is None or not state.is_closed:
+            return super()._return_escrow(record)
         closed = (state.holder_closed, state.witness_closed)
         state.holder_closed = state.witness_closed = False
-        outcome = super()._return(record)
+        outcome = super()._return_escrow(record)
         state.holder_closed, state.witness_closed = closed
         if outcome.accepted:
             # As if the closing side had not counted the tokens as spent.
-            self._consumed[record.budget] -= record.tokens
+            self._consumed_tokens[record.budget] -= record.tokens
         return outcome
 
 
-PLANTED_FOLDS: dict[Plant, type[LedgerFold]] = {
-    Plant.PROMOTION_NOT_HELD_BACK: _PromotionFold,
-    Plant.ALLOWANCE_NOT_HELD_BACK: _AllowanceFold,
-    Plant.LATE_RETURN_COUNTS: _LateReturnFold,
+FAULTY_FOLDS: dict[InjectedFault, type[LedgerFold]] = {
+    InjectedFault.PROMOTION_NOT_HELD_BACK: _PromotionFold,
+    InjectedFault.ALLOWANCE_NOT_HELD_BACK: _AllowanceFold,
+    InjectedFault.LATE_RETURN_COUNTS: _LateReturnFold,
 }
--- a/mothstand/testing/load.py
+++ b/mothstand/testing/load.py
@@ -22,7 +22,7 @@
 _TIMEOUT_S = 10.0
 
 
-class Got(Enum):
+class CallOutcome(Enum):
     """What a caller got."""
 
     WHOLE = "whole"
@@ -50,7 +50,7 @@
     """
 
     prompt: str
-    got: Got
+    outcome: CallOutcome
     elapsed_s: float
     at_s: float
     max_tokens: int
@@ -100,9 +100,9 @@
         assert self._thread is not None
         self._thread.join()
 
-    def count(self, got: Got) -> int:
+    def count(self, got: CallOutcome) -> int:
         """Return how many callers' requests ended so."""
-        return sum(record.got is got for record in self.records)
+        return sum(record.outcome is got for record in self.records)
 
     async def _run(self) -> None:
         limits = httpx.Limits(max_keepalive_connections=0)
@@ -135,7 +135,7 @@
             result = read_answer(response.status_code, response.text, stream=bool(body["stream"]))
             result["request_id"] = response.headers.get("x-request-id", "")
         except httpx.HTTPError:
-            result = {"got": Got.LOST}
+            result = {"got": CallOutcome.LOST}
         return CallRecord(
             prompt=prompt,
             elapsed_s=time.monotonic() - started_s,
@@ -150,11 +150,11 @@
     """Return the fields of a `CallRecord` that an HTTP answer gives."""
     if status != 200:
         error = json.loads(text)["error"]
-        return {"got": Got.REFUSED, "run_state": error["run_state"], "kind": error["code"]}
+        return {"got": CallOutcome.REFUSED, "run_state": error["run_state"], "kind": error["code"]}
     if not stream:
         value = json.loads(text)
         return {
-            "got": Got.WHOLE,
+            "got": CallOutcome.WHOLE,
             "text": value["choices"][0]["message"]["content"],
             "usage_tokens": value["usage"]["total_tokens"],
         }
@@ -166,8 +166,8 @@
             continue
         value = json.loads(event)
         if "error" in value:
-            return {"got": Got.BROKEN, "text": "".join(pieces)}
+            return {"got": CallOutcome.BROKEN, "text": "".join(pieces)}
         pieces.extend(choice["delta"].get("content", "") for choice in value["choices"])
         usage_tokens = value["usage"]["total_tokens"] if value.get("usage") else usage_tokens
-    got = Got.WHOLE if events and events[-1] == "[DONE]" else Got.LOST
+    got = CallOutcome.WHOLE if events and events[-1] == "[DONE]" else CallOutcome.LOST
     return {"got": got, "text": "".join(pieces), "usage_tokens": usage_tokens}
--- a/mothstand/testing/memory_store.py
+++ b/mothstand/testing/memory_store.py
@@ -29,7 +29,7 @@
 STORE_CONNECT_S: float = StoreSection.model_fields["connect_timeout_s"].default
 
 
-class Fate(Enum):
+class StoreCallOutcome(Enum):
     """What becomes of an append."""
 
     ANSWERED = "answered"
@@ -121,7 +121,7 @@
     def __init__(
         self,
         store: MemoryStore,
-        fate: Callable[[], Fate] = lambda: Fate.ANSWERED,
+        fate: Callable[[], StoreCallOutcome] = lambda: StoreCallOutcome.ANSWERED,
         gives_up_after_s: float = 0.0,
     ) -> None:
         self.is_cut = False
@@ -133,13 +133,13 @@
         self, stream: Stream, records: tuple[KeyedRecord, ...], *, at_offset: int | None = None
     ) -> None:
         """Append all records or none; with an offset, only if the stream ends there."""
-        fate = Fate.LOST if self.is_cut else self._fate()
-        if fate is Fate.LATE:
+        fate = StoreCallOutcome.LOST if self.is_cut else self._fate()
+        if fate is StoreCallOutcome.LATE:
             self._store.delay(stream, records, at_offset)
-        if fate in (Fate.LOST, Fate.LATE):
+        if fate in (StoreCallOutcome.LOST, StoreCallOutcome.LATE):
             raise StoreSilentError(fate.value)
         done = self._store.append(stream, records, at_offset)
-        if fate is Fate.UNANSWERED:
+        if fate is StoreCallOutcome.UNANSWERED:
             raise StoreSilentError(fate.value)
         if not done:
             raise StoreConflictError(f"does not end at {at_offset}")
@@ -164,12 +164,14 @@
             raise StoreSilentError("cut off")
 
 
-def random_fate(rng: random.Random, *, failing: float) -> Callable[[], Fate]:
+def random_fate(rng: random.Random, *, failing: float) -> Callable[[], StoreCallOutcome]:
     """Return a decision that lets a part of the appends fail in each way alike."""
 
-    def decide() -> Fate:
+    def decide() -> StoreCallOutcome:
         if rng.random() >= failing:
-            return Fate.ANSWERED
-        return rng.choice([Fate.LOST, Fate.UNANSWERED, Fate.LATE])
+            return StoreCallOutcome.ANSWERED
+        return rng.choice(
+            [StoreCallOutcome.LOST, StoreCallOutcome.UNANSWERED, StoreCallOutcome.LATE]
+        )
 
     return decide
--- a/mothstand/testing/orders.py
+++ b/mothstand/testing/orders.py
@@ -105,7 +105,7 @@
     def _round(self, name: str, alive: set[str], *, hold_up: float) -> None:
         config = self.states[self.seen[name]]
         planner = self.planners[name]
-        for upstream in planner.engines(config.config, alive, 2, self.now_s):
+        for upstream in planner.engines_to_poll(config.config, alive, 2, self.now_s):
             found = next(e for e in self.engines if e.upstream.name == upstream.name)
             order = planner.decide(upstream, found.report(self.now_s), config, self.now_s)
             if order is None or not planner.may_send(order, self.now_s):
--- a/mothstand/testing/retry_histories.py
+++ b/mothstand/testing/retry_histories.py
@@ -17,14 +17,14 @@
 
 from ..core.fleet import Member
 from ..core.loans import Peer
-from ..core.stall_watch import TICK_S, StallWatch
+from ..core.stall_detector import TICK_S, StallDetector
 from ..gateway.member_feed import MemberFeed
-from ..log.health import LogHealth
+from ..log.health import PlatformHealth
 from ..types import DataCentre
 from .fakes import RETRIES
-from .hanging import HangingClock, HangingLink, HangingProcesses
+from .frozen_processes import HangingClock, HangingLink, HangingProcesses
 from .memory_store import MemoryStore, random_fate
-from .retry_plants import Plant, budget_of, plant_shares, sent_since_s, sharers_of
+from .retry_faults import InjectedFault, budget_of, plant_shares, sent_since_s, sharers_of
 from .virtual_time import run_in_virtual_time
 
 if TYPE_CHECKING:
@@ -50,7 +50,7 @@
 _LEAD_S = 12.0
 
 
-class Trouble(Flag):
+class Disruption(Flag):
     """What may happen in a history, beside callers whose requests are all refused."""
 
     NONE = 0
@@ -61,7 +61,13 @@
     FREEZES = auto()
 
 
-ALL_TROUBLES = Trouble.KILLS | Trouble.STORE_AWAY | Trouble.ADDED | Trouble.JUMPS | Trouble.FREEZES
+ALL_DISRUPTIONS = (
+    Disruption.KILLS
+    | Disruption.STORE_AWAY
+    | Disruption.ADDED
+    | Disruption.JUMPS
+    | Disruption.FREEZES
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -113,9 +119,9 @@
     link: HangingLink
     members: MemberFeed
     budget: RetryBudget
-    plant: Plant
+    plant: InjectedFault
     clock: Clock
-    stalls: StallWatch = field(default_factory=StallWatch)
+    stalls: StallDetector = field(default_factory=StallDetector)
     scope: anyio.CancelScope = field(default_factory=anyio.CancelScope)
 
     async def run(self) -> None:
@@ -129,12 +135,12 @@
 
     def counts_request(self, now_s: float) -> None:
         """Count a caller's request."""
-        self.budget.request(sent_since_s(self.plant, self.stalls, now_s))
+        self.budget.add_request(sent_since_s(self.plant, self.stalls, now_s))
 
     def takes_retry(self, now_s: float) -> bool:
         """Return whether a retry may be sent."""
         sharers = sharers_of(self.plant, self.members, now_s)
-        return self.budget.take(now_s, sharers=sharers).is_granted
+        return self.budget.try_acquire(now_s, sharers=sharers).is_granted
 
 
 @dataclass(slots=True)
@@ -150,8 +156,8 @@
     """
 
     seed: int
-    troubles: Trouble
-    plant: Plant = Plant.NONE
+    troubles: Disruption
+    plant: InjectedFault = InjectedFault.NONE
     settings: RetryBudgetSettings = RETRIES
     instances: int = 6
     duration_s: float = 60.0
@@ -178,13 +184,13 @@
         names = [f"i{number}" for number in range(self.instances)]
         async with anyio.create_task_group() as tasks:
             self._tasks = tasks
-            if Trouble.STORE_AWAY in self.troubles and rng.random() < 0.4:
+            if Disruption.STORE_AWAY in self.troubles and rng.random() < 0.4:
                 away_s = _LEAD_S + rng.uniform(0.0, 25.0)
                 tasks.start_soon(self._cut, set(names), away_s)
             for name in names:
                 tasks.start_soon(self._start, name, rng.uniform(0.3, 0.6))
             await anyio.sleep(_LEAD_S)
-            for trouble in Trouble:
+            for trouble in Disruption:
                 if trouble in self.troubles:
                     tasks.start_soon(self._series, trouble)
             await self._load(count)
@@ -199,7 +205,7 @@
         changes_s = 0.0
         ends_s = anyio.current_time() + self.duration_s
         while (now_s := anyio.current_time()) < ends_s:
-            if Trouble.JUMPS in self.troubles and now_s >= changes_s:
+            if Disruption.JUMPS in self.troubles and now_s >= changes_s:
                 changes_s = now_s + rng.choice([1.0, 2.5, 5.0, 10.0])
                 factor = rng.choice([0.1, 0.5, 1.0, 2.0, 4.0])
                 weights = {name: rng.choice([0.02, 1.0]) for name in self._alive}
@@ -226,20 +232,20 @@
             await anyio.sleep(_delay_s(rng))
             count.repeats_s.append(anyio.current_time())
 
-    async def _series(self, trouble: Trouble) -> None:
+    async def _series(self, trouble: Disruption) -> None:
         """Let one kind of trouble happen again and again."""
         rng = self._chance(trouble)
         while True:
             await anyio.sleep(rng.choice([0.7, 2.0, 4.0, 9.0]))
             match trouble:
-                case Trouble.KILLS:
+                case Disruption.KILLS:
                     self._kill(self._some(rng), rng)
-                case Trouble.STORE_AWAY:
+                case Disruption.STORE_AWAY:
                     longest_s = rng.choice([14.0, 14.0, 50.0])
                     await self._cut(self._some(rng), rng.uniform(0.5, longest_s))
-                case Trouble.ADDED:
+                case Disruption.ADDED:
                     self._add()
-                case Trouble.FREEZES:
+                case Disruption.FREEZES:
                     until_s = anyio.current_time() + rng.uniform(0.5, 5.0)
                     self._hanging.freeze(self._some(rng), until_s)
                 case _:
@@ -283,13 +289,13 @@
 
     def _make(self, name: str) -> _Instance:
         clock = HangingClock(self._hanging, name)
-        failing = _FAILING_APPENDS if Trouble.STORE_AWAY in self.troubles else 0.0
+        failing = _FAILING_APPENDS if Disruption.STORE_AWAY in self.troubles else 0.0
         fate = random_fate(self._chance(name, self._starts), failing=failing)
         link = HangingLink(self._store, self._hanging, name, fate)
         me = Member(Peer(name, f"{name}-{self._starts}", f"{name}:1"), DataCentre(name[:1]))
         started_s = clock.monotonic_s()
         members = MemberFeed(
-            link, me, clock, LogHealth(clock), lambda: None, self.settings, started_s=started_s
+            link, me, clock, PlatformHealth(clock), lambda: None, self.settings, started_s=started_s
         )
         plant_shares(self.plant, members)
         budget = budget_of(self.plant, self.settings)
--- a/mothstand/testing/views.py
+++ b/mothstand/testing/views.py
@@ -50,5 +50,5 @@
 def all_witnessed(fleet: Fleet, *, data_centres: int) -> bool:
     """Return whether each shard has an epoch with a witness in each data centre."""
     ledgers = view_of(fleet).ledgers.values()
-    epochs = [fold.epochs[epoch] for fold in ledgers for epoch in fold.current.values()]
+    epochs = [fold.epochs[epoch] for fold in ledgers for epoch in fold.current_epochs.values()]
     return len(epochs) == fleet.shards * data_centres and all(e.witness for e in epochs)
--- a/mothstand/tests/test_bootstrap.py
+++ b/mothstand/tests/test_bootstrap.py
@@ -11,12 +11,12 @@
 from ..core.loans import Peer
 from ..gateway.bootstrap import Bootstrap
 from ..gateway.feeds import ConfigFeed
-from ..gateway.lending import Knowledge
+from ..gateway.lending import BootstrapState
 from ..gateway.member_feed import MemberFeed, encode_member
 from ..gateway.quarantine_feed import QuarantineFeed
 from ..gateway.store import KeyedRecord
 from ..gateway.upstream_feed import UpstreamFeed
-from ..log.health import LogHealth
+from ..log.health import PlatformHealth
 from ..peers.failures import PeerError
 from ..platform.records import (
     CONFIG_KEY,
@@ -34,45 +34,45 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-_HERE = DataCentre("sto-a")
+_DATA_CENTRE = DataCentre("sto-a")
 _UPSTREAM = registration("llm", "10.0.0.9:1")
 
 
 def member(name: str) -> Member:
-    return Member(Peer(name, f"{name}-1", f"{name}:1"), _HERE)
+    return Member(Peer(name, f"{name}-1", f"{name}:1"), _DATA_CENTRE)
 
 
-def knowledge(version: int) -> Knowledge:
-    return Knowledge(
+def bootstrap_state(version: int) -> BootstrapState:
+    return BootstrapState(
         json.dumps({"version": version}).encode(),
         (KeyedRecord("e-1", json.dumps(_UPSTREAM).encode()),),
         (encode_member(member("b")), encode_member(member("c"))),
     )
 
 
-class _Peers(SilentPeers):
+class _FakePeers(SilentPeers):
     """Peers by address; other addresses do not answer."""
 
-    def __init__(self, known: dict[str, Knowledge]) -> None:
-        self.asked: list[str] = []
-        self._known = known
+    def __init__(self, states: dict[str, BootstrapState]) -> None:
+        self.asked_addresses: list[str] = []
+        self._states = states
 
-    async def knowledge(self, address: str) -> Knowledge:
-        self.asked.append(address)
-        if address not in self._known:
+    async def bootstrap_state(self, address: str) -> BootstrapState:
+        self.asked_addresses.append(address)
+        if address not in self._states:
             raise PeerError(address)
-        return self._known[address]
+        return self._states[address]
 
 
-class _Starting:
+class _StartingInstance:
     """An instance that has just started and is cut off from the store."""
 
-    def __init__(self, peers: dict[str, Knowledge], seeds: tuple[str, ...]) -> None:
+    def __init__(self, peers: dict[str, BootstrapState], seeds: tuple[str, ...]) -> None:
         clock = VirtualClock()
-        health = LogHealth(clock)
+        health = PlatformHealth(clock)
         self.link = StoreLink(MemoryStore())
         self.link.is_cut = True
-        self.peers = _Peers(peers)
+        self.peers = _FakePeers(peers)
         self.config = ConfigFeed(
             self.link, CONFIG_STREAM, CONFIG_KEY, clock, health, decode_config, lambda _: None
         )
@@ -103,60 +103,64 @@
             clock,
         )
 
-    async def run(self, for_s: float, then: Callable[[], None] = lambda: None) -> None:
+    async def run(self, duration_s: float, then: Callable[[], None] = lambda: None) -> None:
         async with anyio.create_task_group() as tasks:
             for work in (self.config.run, self.upstreams.run, self.members.run):
                 tasks.start_soon(work)
             tasks.start_soon(self._bootstrap.run)
-            await anyio.sleep(for_s)
+            await anyio.sleep(duration_s)
             then()
             tasks.cancel_scope.cancel()
 
 
 class TestBootstrap:
-    def test_a_start_in_an_outage_serves_by_what_a_seed_knows(self) -> None:
+    def test_start_in_a_store_outage_uses_the_state_of_a_seed(self) -> None:
         """Guards against an instance that refuses all requests if restarted in a store outage.
 
         Configuration, upstreams and lenders were read from the store only.
         """
-        starting = _Starting({"b:1": knowledge(7)}, ("a:1", "b:1"))
+        starting = _StartingInstance({"b:1": bootstrap_state(7)}, ("a:1", "b:1"))
         run_in_virtual_time(lambda: starting.run(3.0))
         assert starting.config.config is not None
         assert starting.config.config.version == 7
-        assert [u.address for u in starting.upstreams.directory.of_service("llm")] == ["10.0.0.9:1"]
+        assert [u.address for u in starting.upstreams.directory.accepting_upstreams("llm")] == [
+            "10.0.0.9:1"
+        ]
         assert starting.members.is_settled
         lenders = starting.members.fleet.lenders(Shard(0))
         assert {peer.address for peer in lenders} == {"b:1", "c:1"}
 
-    def test_dead_seeds_are_passed_over_and_itself_is_not_asked(self) -> None:
-        starting = _Starting({"c:1": knowledge(3)}, ("a:1", "x:1", "c:1"))
+    def test_unreachable_seeds_are_skipped_and_own_address_is_not_asked(self) -> None:
+        starting = _StartingInstance({"c:1": bootstrap_state(3)}, ("a:1", "x:1", "c:1"))
         run_in_virtual_time(lambda: starting.run(5.0))
         assert starting.config.config is not None
-        assert "a:1" not in starting.peers.asked
+        assert "a:1" not in starting.peers.asked_addresses
 
-    def test_a_peer_that_is_behind_does_not_bring_back_what_was_replaced(self) -> None:
+    def test_older_configuration_of_a_peer_does_not_replace_a_newer_one(self) -> None:
         """Guards against a removed route that is served again.
 
         A peer's older configuration replaced the one from the store.
         """
-        starting = _Starting({}, ())
-        starting.config.offer(KeyedRecord(CONFIG_KEY, json.dumps({"version": 9}).encode()))
-        starting.config.offer(KeyedRecord("", knowledge(7).config))
+        starting = _StartingInstance({}, ())
+        starting.config.apply_second_hand(
+            KeyedRecord(CONFIG_KEY, json.dumps({"version": 9}).encode())
+        )
+        starting.config.apply_second_hand(KeyedRecord("", bootstrap_state(7).config))
         assert starting.config.config is not None
         assert starting.config.config.version == 9
 
-    def test_members_by_hearsay_after_the_store_was_read(self) -> None:
+    def test_second_hand_members_are_ignored_after_a_store_read(self) -> None:
         """Guards against loan requests to dead claimants, for which callers wait.
 
         An instance read the members from the store but not yet the configuration, asked a peer that
         was cut off, and applied that peer's expired members.
         """
-        starting = _Starting({}, ())
+        starting = _StartingInstance({}, ())
         starting.link.is_cut = False
 
         async def run() -> None:
-            await starting.members.look()
-            starting.members.offer(knowledge(1).members)
+            await starting.members.poll()
+            starting.members.apply_second_hand(bootstrap_state(1).members)
 
         run_in_virtual_time(run)
-        assert not starting.members.fleet.knows("c")
+        assert not starting.members.fleet.has_announced("c")
--- a/mothstand/tests/test_caller_connections.py
+++ b/mothstand/tests/test_caller_connections.py
@@ -43,7 +43,7 @@
 
 @asynccontextmanager
 async def connection() -> AsyncIterator[SocketStream]:
-    server = CallerServer(_echo, lambda: _LIMITS, first_idle_timeout_s=9.0, access_log=None)
+    server = CallerServer(_echo, lambda: _LIMITS, initial_idle_timeout_s=9.0, access_log=None)
     runner = web.ServerRunner(server)
     await runner.setup()
     await web.TCPSite(runner, "127.0.0.1", 0).start()
@@ -66,7 +66,7 @@
 
 class TestCallerConnections:
     @pytest.mark.anyio
-    async def test_a_head_that_trickles_in_is_cut_with_a_408(self) -> None:
+    async def test_slowly_sent_head_gets_408(self) -> None:
         """Symptom: callers cannot connect, though hardly any requests run.
 
         Sequence: callers send a byte of a head now and then, for minutes.
@@ -88,7 +88,7 @@
             assert time.monotonic() - began_s < 2.0
 
     @pytest.mark.anyio
-    async def test_a_slow_body_is_waited_for(self) -> None:
+    async def test_slow_body_is_read_completely(self) -> None:
         async with connection() as stream:
             await stream.send(_HEAD + b"ab")
             await anyio.sleep(2 * _LIMITS.header_timeout_s)
@@ -97,14 +97,14 @@
 
     @pytest.mark.anyio
     @pytest.mark.parametrize("turns", range(6))
-    async def test_a_body_that_comes_right_after_its_head_is_no_head(self, turns: int) -> None:
+    async def test_body_right_after_head_does_not_start_head_timer(self, turns: int) -> None:
         """Symptom: a caller gets a 408 in the middle of its answer, three seconds after it asked.
 
         Sequence: the body comes a turn of the event loop after the head, while the request is
         handed over and stands nowhere; its answer takes longer than a head may.
         Cause: the body's bytes were taken for the next head, whose time then ran out.
         """
-        server = CallerServer(_slow_echo, lambda: _LIMITS, first_idle_timeout_s=9.0)
+        server = CallerServer(_slow_echo, lambda: _LIMITS, initial_idle_timeout_s=9.0)
         runner = web.ServerRunner(server)
         await runner.setup()
         await web.TCPSite(runner, "127.0.0.1", 0).start()
@@ -122,7 +122,7 @@
         assert received.endswith(b"abcd")
 
     @pytest.mark.anyio
-    async def test_each_head_has_its_own_time(self) -> None:
+    async def test_head_timer_restarts_for_each_request(self) -> None:
         async with connection() as stream:
             for _ in range(3):
                 await stream.send(_HEAD[:20])
@@ -131,7 +131,7 @@
                 assert (await stream.receive()).endswith(b"abcd")
 
     @pytest.mark.anyio
-    async def test_an_idle_connection_is_closed_at_the_operators_limit(self) -> None:
+    async def test_idle_connection_is_closed_at_configured_limit(self) -> None:
         async with connection() as stream:
             await stream.send(_HEAD + b"abcd")
             assert (await stream.receive()).endswith(b"abcd")
--- a/mothstand/tests/test_checker.py
+++ b/mothstand/tests/test_checker.py
@@ -9,13 +9,15 @@
 from ..core.records import BillLine
 from ..standins.engine import answer_tokens
 from ..testing.checker import JournalLine, RunHistory, find_violations
-from ..testing.load import CallRecord, Got
+from ..testing.load import CallOutcome, CallRecord
 from ..types import BudgetName
 
 LUND = BudgetName("lund")
 ANSWER = "".join(answer_tokens("entry 1", 4))
-CALL = CallRecord("entry 1", Got.WHOLE, 0.1, 0.0, 4, "lund/1", ANSWER, 6)
-REFUSED = CallRecord("entry 2", Got.REFUSED, 0.1, 0.0, 4, run_state="not run", kind="overloaded")
+CALL = CallRecord("entry 1", CallOutcome.WHOLE, 0.1, 0.0, 4, "lund/1", ANSWER, 6)
+REFUSED = CallRecord(
+    "entry 2", CallOutcome.REFUSED, 0.1, 0.0, 4, run_state="not run", kind="overloaded"
+)
 RAN = JournalLine("lund/1/1", "entry 1", 2, 4)
 BILL = BillLine("lund/1", LUND, 6)
 CLEAN = RunHistory((CALL, REFUSED), (RAN,), (BILL,), 100)
@@ -39,7 +41,9 @@
             ),
             (replace(CLEAN, calls=(replace(CALL, text="w1 "),)), "got 'w1 '"),
             (
-                replace(CLEAN, calls=(CALL, replace(CALL, got=Got.BROKEN, text="other"))),
+                replace(
+                    CLEAN, calls=(CALL, replace(CALL, outcome=CallOutcome.BROKEN, text="other"))
+                ),
                 "another's beginning",
             ),
         ],
--- a/mothstand/tests/test_claim_histories.py
+++ b/mothstand/tests/test_claim_histories.py
@@ -9,7 +9,7 @@
 import pytest
 from absl import logging
 
-from ..testing.claim_histories import ClaimHistory, OverspentError, Plant
+from ..testing.claim_histories import ClaimHistory, InjectedFault, OverspentError
 
 _CLEAN_SEEDS = 60
 _MOST_SEEDS = 400
@@ -28,7 +28,9 @@
     logging.set_verbosity(logging.FATAL)
 
 
-def run_one(seed: int, plant: Plant = Plant.NONE, *, hands_over: bool = False) -> Counter[str]:
+def run_one(
+    seed: int, plant: InjectedFault = InjectedFault.NONE, *, hands_over: bool = False
+) -> Counter[str]:
     """Run one history from its seed."""
     history = ClaimHistory(random.Random(seed), plant, hands_over=hands_over)
     anyio.run(history.run, _STEPS)
@@ -62,11 +64,13 @@
     def test_seeds_that_failed(self, seed: int) -> None:
         run_one(seed)
 
-    @pytest.mark.parametrize("plant", [plant for plant in Plant if plant is not Plant.NONE])
-    def test_planted_faults_are_found(self, plant: Plant) -> None:
+    @pytest.mark.parametrize(
+        "plant", [plant for plant in InjectedFault if plant is not InjectedFault.NONE]
+    )
+    def test_planted_faults_are_found(self, plant: InjectedFault) -> None:
         for seed in range(_MOST_SEEDS):
             try:
-                run_one(seed, plant, hands_over=plant is Plant.HANDOVER_AGAIN)
+                run_one(seed, plant, hands_over=plant is InjectedFault.HANDOVER_AGAIN)
             except OverspentError:
                 return
         pytest.fail(f"{plant} not found in {_MOST_SEEDS} histories")
--- a/mothstand/tests/test_claim_policy.py
+++ b/mothstand/tests/test_claim_policy.py
@@ -13,8 +13,8 @@
 )
 from ..core.claims import Claim, HeldBudget, Holder
 from ..core.demand import Demand
+from ..core.priority_reserve import BudgetDemand, Supply
 from ..core.renewals import Opening, opening_after
-from ..core.urgency import BudgetDemand, Supply
 from ..types import BudgetName
 
 _POLICY = ClaimPolicy()
@@ -27,8 +27,8 @@
     waiting_tokens=0,
     largest_tokens=9_000,
     demand_tokens_per_s=5_000.0,
-    others=(5_000.0, 5_000.0),
-    others_unspent_tokens=90_000,
+    other_demands_tokens_per_s=(5_000.0, 5_000.0),
+    other_holders_unspent_tokens=90_000,
     instances=3,
 )
 
@@ -40,25 +40,25 @@
         held = wanted - _VIEW.needed_claim_tokens
         assert held >= 5_000 * _POLICY.ride_through_s
 
-    def test_near_the_end_takes_no_more_than_its_share(self) -> None:
-        view = replace(_VIEW, free_tokens=30_000, held_tokens=0, others_unspent_tokens=0)
+    def test_claim_near_budget_end_is_within_share(self) -> None:
+        view = replace(_VIEW, free_tokens=30_000, held_tokens=0, other_holders_unspent_tokens=0)
         wanted = wanted_claim_tokens(view, _POLICY)
         assert wanted is not None
         assert wanted - view.limit_tokens <= 30_000 * _POLICY.held_share / 3 + 1
 
-    def test_what_waits_is_claimed_beyond_the_share(self) -> None:
+    def test_waiting_tokens_are_claimed_beyond_share(self) -> None:
         view = replace(_VIEW, free_tokens=12_000, held_tokens=0, waiting_tokens=9_000)
         wanted = wanted_claim_tokens(view, _POLICY)
         assert wanted is not None
         assert wanted - view.limit_tokens >= 9_000
 
-    def test_excess_goes_back(self) -> None:
+    def test_excess_lowers_the_claim(self) -> None:
         view = replace(_VIEW, held_tokens=400_000, limit_tokens=405_000)
         wanted = wanted_claim_tokens(view, _POLICY)
         assert wanted is not None
         assert view.needed_claim_tokens < wanted < view.limit_tokens
 
-    def test_no_claim_is_below_nothing(self) -> None:
+    def test_claim_is_never_negative(self) -> None:
         """Symptom: more is spent than was paid.
 
         Sequence: an instance borrows tokens, its demand falls, it lowers its claim below zero to
@@ -71,7 +71,7 @@
         assert wanted_claim_tokens(view, _POLICY) == 0
         assert wanted_window(view, 0, _POLICY) == Window(0, 0)
 
-    def test_a_claim_near_its_target_is_left_alone(self) -> None:
+    def test_claim_near_target_is_not_rewritten(self) -> None:
         wanted = wanted_claim_tokens(_VIEW, _POLICY)
         assert wanted is not None
         held = _VIEW.held_tokens + wanted - _VIEW.limit_tokens
@@ -80,19 +80,19 @@
 
 
 class TestWantedWindow:
-    def test_covers_what_was_used_and_what_waits(self) -> None:
+    def test_base_covers_used_and_waiting_tokens(self) -> None:
         view = replace(_VIEW, waiting_tokens=200_000)
         assert wanted_window(view, 500_000, _POLICY).base_tokens >= 205_000
 
-    def test_is_within_the_claim(self) -> None:
+    def test_window_is_within_claim(self) -> None:
         assert wanted_window(_VIEW, 6_000, _POLICY).window_tokens <= 6_000
 
-    def test_windows_of_all_exceed_use_by_a_part_of_what_is_left(self) -> None:
+    def test_windows_exceed_use_by_a_share_of_remaining_tokens(self) -> None:
         wanted = wanted_window(_VIEW, 500_000, _POLICY)
         window = wanted.window_tokens - _VIEW.needed_claim_tokens
         assert 3 * window <= 1_000_000 * _POLICY.window_share + 3
 
-    def test_in_touch_a_part_of_the_window_is_spent(self) -> None:
+    def test_tokens_lost_when_all_instances_die_are_bounded(self) -> None:
         """What a fleet of three loses when all die 2.4 s after they renewed: 11 % of what is left.
 
         It was 20 % when the whole window could be spent at once.
@@ -107,58 +107,56 @@
             _VIEW.needed_claim_tokens,
             5_000.0,
         )
-        lost = claim.limit_tokens(opening_after(2.4)) - claim.spent_tokens
-        assert 3 * lost < 0.12 * 1_000_000
+        lost_tokens = claim.limit_tokens(opening_after(2.4)) - claim.spent_tokens
+        assert 3 * lost_tokens < 0.12 * 1_000_000
 
 
 class TestDemand:
-    def test_a_jump_shows_within_seconds_and_fades(self) -> None:
+    def test_demand_follows_a_jump_and_decays(self) -> None:
         demand = Demand()
         for step in range(80):
-            demand.ask(100, step / 10)
-        assert 700 < demand.rate(8.0) < 1_100
-        assert demand.rate(28.0) < 10
+            demand.add_request(100, step / 10)
+        assert 700 < demand.rate_tokens_per_s(8.0) < 1_100
+        assert demand.rate_tokens_per_s(28.0) < 10
 
 
-class TestUrgency:
+class TestPriorityReserve:
     """An outage of eight seconds in which a quarter of what is asked for is held.
 
     Each second 30 short questions of 1,000 tokens and 16 long documents of 9,000 are asked.
     """
 
-    def play(self, *, by_urgency: bool) -> tuple[float, float]:
+    def served_shares(self, *, by_priority: bool) -> tuple[float, float]:
         """Return which parts of the questions and of the documents are served."""
         demand = BudgetDemand()
-        held = HeldBudget(
-            BudgetName("b"), limit_tokens=350_000, opening=Opening(1.0, all_claimed=True)
-        )
-        asked = {0: 0, 1: 0}
+        held = HeldBudget(BudgetName("b"), limit_tokens=350_000, opening=Opening(1.0, is_full=True))
+        requested = {0: 0, 1: 0}
         served = {0: 0, 1: 0}
         for step in range(-46 * 10, 46 * 8):
             now_s = step / 46
             priority, tokens = (0, 1_000) if step % 46 % 3 else (1, 9_000)
-            demand.ask(tokens, priority, now_s)
+            demand.add_request(tokens, priority, now_s)
             if step < 0:
                 continue
             supply = Supply(max(0.01, now_s))
-            kept = demand.kept_tokens(priority, supply, now_s) if by_urgency else 0
-            asked[priority] += 1
-            served[priority] += held.reserve(tokens, kept_tokens=kept) is not None
-        return served[0] / asked[0], served[1] / asked[1]
+            withheld = demand.withheld_tokens(priority, supply, now_s) if by_priority else 0
+            requested[priority] += 1
+            served[priority] += held.reserve(tokens, withheld_tokens=withheld) is not None
+        return served[0] / requested[0], served[1] / requested[1]
 
     def test_short_questions_are_served_through_an_outage(self) -> None:
         """Served of short questions and long documents: 26 and 25 % before, 100 and 8 % now."""
-        before, now = self.play(by_urgency=False), self.play(by_urgency=True)
+        before, now = self.served_shares(by_priority=False), self.served_shares(by_priority=True)
         assert before[0] < 0.5
         assert now[0] > 0.95
         assert now[1] > 0
 
-    def test_nothing_is_kept_while_the_budget_can_be_refilled(self) -> None:
+    def test_nothing_is_withheld_while_budget_can_be_refilled(self) -> None:
         demand = BudgetDemand()
-        demand.ask(1_000, 0, 0.0)
-        assert demand.kept_tokens(1, Supply(0.0), 0.0) == 0
+        demand.add_request(1_000, 0, 0.0)
+        assert demand.withheld_tokens(1, Supply(0.0), 0.0) == 0
 
-    def test_a_small_request_leaves_less_for_larger_ones(self) -> None:
+    def test_smaller_requests_withhold_less_for_larger_ones(self) -> None:
         """Symptom: labels are refused for the sake of documents that the rest would not serve.
 
         Sequence: in an outage one document of 13,000 tokens is asked each second, and labels of
@@ -166,13 +164,13 @@
         """
         demand = BudgetDemand()
         for second in range(20):
-            demand.ask(13_000, 0, float(second))
-            demand.ask(2_000, 1, float(second))
-        kept = demand.kept_tokens(1, Supply(2.0), 19.0)
-        all_kept = 7.0 * demand.by_priority[0].rate(19.0)
-        assert abs(kept - all_kept * 2 / 13) < 10
+            demand.add_request(13_000, 0, float(second))
+            demand.add_request(2_000, 1, float(second))
+        withheld = demand.withheld_tokens(1, Supply(2.0), 19.0)
+        full_demand = 7.0 * demand.by_priority[0].rate_tokens_per_s(19.0)
+        assert abs(withheld - full_demand * 2 / 13) < 10
 
-    def test_locked_tokens_are_kept_first(self) -> None:
+    def test_locked_tokens_reduce_withheld_tokens(self) -> None:
         """Symptom: in the first seconds of an outage documents are refused though enough is held.
 
         Sequence: the store falls silent; of 60,000 tokens held 20,000 may be spent, the others in
@@ -180,5 +178,5 @@
         nine seconds, though the 40,000 will serve the last five of them.
         """
         supply = Supply(0.1, locked_tokens=40_000, unlocks_in_s=4.0)
-        assert supply.kept_tokens(2_000) == 8_000
-        assert Supply(0.1, unlocks_in_s=4.0).kept_tokens(2_000) == 17_800
+        assert supply.withheld_tokens(2_000) == 8_000
+        assert Supply(0.1, unlocks_in_s=4.0).withheld_tokens(2_000) == 17_800
--- a/mothstand/tests/test_claims.py
+++ b/mothstand/tests/test_claims.py
@@ -5,10 +5,10 @@
 import json
 from dataclasses import replace
 
-from ..core.claims import Claim, ClaimBook, ClaimTable, HeldBudget, Holder, Usage
-from ..core.loans import LoanBook, Peer, PeerChoice, holdings, next_asked
+from ..core.claims import Claim, ClaimTable, HeldBudget, Holder, LocalClaims, Usage
+from ..core.loans import LoanLog, Peer, PeerChoice, holdings, peers_with_holdings
 from ..core.renewals import (
-    OPENS_S,
+    OPENING_STARTS_S,
     UNLOCK_S,
     Opening,
     Renewal,
@@ -19,9 +19,9 @@
 from ..types import BudgetName
 
 _BUDGET = BudgetName("seniors")
-_ME = Holder("a", "1")
+_LOCAL = Holder("a", "1")
 _OTHER = Holder("b", "1")
-_ALL = Opening(1.0, all_claimed=True)
+_FULL_OPENING = Opening(1.0, is_full=True)
 
 
 def claim(holder: Holder, claimed: int, *, window: int | None = None, spent: int = 0) -> Claim:
@@ -29,57 +29,57 @@
     return Claim(_BUDGET, holder, claimed, window, window, spent, 0.0)
 
 
-def book_with(*claims: Claim) -> ClaimBook:
-    book = ClaimBook(_ME)
-    book.of(_BUDGET)
+def local_claims_with(*claims: Claim) -> LocalClaims:
+    local_claims = LocalClaims(_LOCAL)
+    local_claims.held_budget(_BUDGET)
     for one in claims:
-        book.table.put(one, 0.0)
-    book.took(len(claims))
-    return book
+        local_claims.table.apply(one, 0.0)
+    local_claims.advance_to(len(claims))
+    return local_claims
 
 
-class TestClaimBook:
-    def test_a_claim_that_does_not_fit_is_not_written(self) -> None:
-        book = book_with(claim(_OTHER, 60))
-        assert book.fits((claim(_ME, 40),), {_BUDGET: 100})
-        assert not book.fits((claim(_ME, 41),), {_BUDGET: 100})
+class TestLocalClaims:
+    def test_claim_above_prepaid_tokens_does_not_fit(self) -> None:
+        local_claims = local_claims_with(claim(_OTHER, 60))
+        assert local_claims.fits((claim(_LOCAL, 40),), {_BUDGET: 100})
+        assert not local_claims.fits((claim(_LOCAL, 41),), {_BUDGET: 100})
 
-    def test_a_lowered_claim_fits_also_when_too_much_is_claimed(self) -> None:
-        book = book_with(claim(_OTHER, 60), claim(_ME, 40))
-        assert book.fits((claim(_ME, 10),), {_BUDGET: 50})
+    def test_lowered_claim_fits_when_prepaid_tokens_are_exceeded(self) -> None:
+        local_claims = local_claims_with(claim(_OTHER, 60), claim(_LOCAL, 40))
+        assert local_claims.fits((claim(_LOCAL, 10),), {_BUDGET: 50})
 
-    def test_lost_answer_of_a_lowered_claim(self) -> None:
+    def test_lowered_claim_limits_spend_while_unconfirmed(self) -> None:
         """Symptom: two instances spend the same tokens.
 
         Sequence: an instance lowers its claim, the answer is lost, it reads its old claim and
         spends up to it; then the append is done late and another instance claims the rest.
         Cause: the claim last read was taken for the one in force.
         """
-        book = book_with(claim(_ME, 100))
-        book.begin((claim(_ME, 30),))
-        book.took(book.table.next_offset)
-        assert book.of(_BUDGET).limit_tokens == 30
-
-    def test_a_later_record_decides_a_doubtful_append(self) -> None:
-        book = book_with(claim(_ME, 100))
-        book.begin((claim(_ME, 30),))
-        book.table.put(claim(_OTHER, 5), 0.0)
-        book.took(book.table.next_offset + 1)
-        assert book.of(_BUDGET).limit_tokens == 100
-
-    def test_an_unanswered_raise_gives_nothing(self) -> None:
-        book = book_with(claim(_ME, 100))
-        book.begin((claim(_ME, 150),))
-        assert book.of(_BUDGET).limit_tokens == 100
-
-    def test_only_the_window_may_be_spent_in_touch_with_the_store(self) -> None:
-        book = book_with(claim(_ME, 100, window=20))
-        held = book.of(_BUDGET)
+        local_claims = local_claims_with(claim(_LOCAL, 100))
+        local_claims.begin_append((claim(_LOCAL, 30),))
+        local_claims.advance_to(local_claims.table.next_offset)
+        assert local_claims.held_budget(_BUDGET).limit_tokens == 30
+
+    def test_later_record_resolves_unconfirmed_append(self) -> None:
+        local_claims = local_claims_with(claim(_LOCAL, 100))
+        local_claims.begin_append((claim(_LOCAL, 30),))
+        local_claims.table.apply(claim(_OTHER, 5), 0.0)
+        local_claims.advance_to(local_claims.table.next_offset + 1)
+        assert local_claims.held_budget(_BUDGET).limit_tokens == 100
+
+    def test_unconfirmed_raise_does_not_raise_limit(self) -> None:
+        local_claims = local_claims_with(claim(_LOCAL, 100))
+        local_claims.begin_append((claim(_LOCAL, 150),))
+        assert local_claims.held_budget(_BUDGET).limit_tokens == 100
+
+    def test_spend_is_limited_to_base_until_claims_unlock(self) -> None:
+        local_claims = local_claims_with(claim(_LOCAL, 100, window=20))
+        held = local_claims.held_budget(_BUDGET)
         assert held.reserve(21) is None
-        book.open(_ALL)
+        local_claims.set_opening(_FULL_OPENING)
         assert held.reserve(21) is not None
 
-    def test_no_renewal_while_more_than_the_window_is_used(self) -> None:
+    def test_bases_below_usage_do_not_cover_it(self) -> None:
         """Symptom: more is spent than was paid, after a death.
 
         Sequence: a process spends past its window in an outage; back in touch it renews, without
@@ -88,20 +88,26 @@
         Cause: the window was compared with the last one whose answer came, not with the one in
         the store, and taken for unchanged. Found by random histories, seed 2706.
         """
-        book = book_with(claim(_ME, 31, window=10))
-        book.open(_ALL)
-        assert book.of(_BUDGET).reserve(11) is not None
-        assert not book.covers(())
-        assert not book.covers((claim(_ME, 31, window=10),))
-        assert book.covers((claim(_ME, 31, window=11),))
-
-    def test_the_window_opens_with_the_silence_of_the_store(self) -> None:
-        opened = replace(claim(_ME, 100, window=60), base_tokens=20)
-        book = book_with(opened)
-        held = book.of(_BUDGET)
+        local_claims = local_claims_with(claim(_LOCAL, 31, window=10))
+        local_claims.set_opening(_FULL_OPENING)
+        assert local_claims.held_budget(_BUDGET).reserve(11) is not None
+        assert not local_claims.bases_cover_usage(())
+        assert not local_claims.bases_cover_usage((claim(_LOCAL, 31, window=10),))
+        assert local_claims.bases_cover_usage((claim(_LOCAL, 31, window=11),))
+
+    def test_window_opens_with_time_out_of_touch(self) -> None:
+        opened = replace(claim(_LOCAL, 100, window=60), base_tokens=20)
+        local_claims = local_claims_with(opened)
+        held = local_claims.held_budget(_BUDGET)
         available = []
-        for silent_s in (0.0, OPENS_S, (OPENS_S + UNLOCK_S) / 2, UNLOCK_S - 0.001, UNLOCK_S):
-            book.open(opening_after(silent_s))
+        for out_of_touch_s in (
+            0.0,
+            OPENING_STARTS_S,
+            (OPENING_STARTS_S + UNLOCK_S) / 2,
+            UNLOCK_S - 0.001,
+            UNLOCK_S,
+        ):
+            local_claims.set_opening(opening_after(out_of_touch_s))
             available.append(held.available_tokens)
         assert available == [20, 20, 40, 59, 100]
 
@@ -110,7 +116,7 @@
     def held(self, tokens: int) -> HeldBudget:
         return HeldBudget(_BUDGET, limit_tokens=tokens, window_tokens=tokens, base_tokens=tokens)
 
-    def test_settling_gives_back_what_was_not_used(self) -> None:
+    def test_settling_twice_frees_unused_tokens_once(self) -> None:
         held = self.held(100)
         reservation = held.reserve(80)
         assert reservation is not None
@@ -118,7 +124,7 @@
         held.settle(reservation, Usage(30, 30))
         assert (held.spent_tokens, held.available_tokens) == (30, 70)
 
-    def test_what_is_in_doubt_is_neither_free_nor_recorded_as_spent(self) -> None:
+    def test_uncertain_tokens_are_neither_available_nor_recorded_as_spent(self) -> None:
         """Symptom: a request is refused for good (402) though its budget covers it.
 
         Sequence: callers leave before any event of their answers; what their prompts may have
@@ -133,10 +139,10 @@
         assert held.available_tokens == 50
         assert held.recorded_spent_tokens == 30
 
-    def test_a_less_urgent_request_leaves_what_is_kept(self) -> None:
+    def test_reservation_leaves_withheld_tokens(self) -> None:
         held = self.held(100)
-        assert held.reserve(80, kept_tokens=30) is None
-        assert held.reserve(70, kept_tokens=30) is not None
+        assert held.reserve(80, withheld_tokens=30) is None
+        assert held.reserve(70, withheld_tokens=30) is not None
 
 
 class TestHoldings:
@@ -148,18 +154,18 @@
         held_tokens = {"a": 50, "b": 700, "c": 900, "d": 0, "e": 60}
         for name, tokens in held_tokens.items():
             claim = Claim(_BUDGET, Holder(name, f"{name}-1"), 1000, 0, 0, 0, 0.0, tokens)
-            table.put(claim, 2.0 if name == "c" else 9.0)
+            table.apply(claim, 2.0 if name == "c" else 9.0)
         return table
 
-    def test_a_lender_names_who_lives_and_holds_most(self) -> None:
+    def test_lender_names_live_holders_with_most_tokens_first(self) -> None:
         named = holdings(self.table(), _BUDGET, Holder("a", "a-1"), 10.0)
         assert [(h.instance, h.tokens) for h in named] == [("b", 700), ("e", 60)]
 
-    def test_a_borrower_asks_those_next(self) -> None:
+    def test_borrower_asks_named_holders_next(self) -> None:
         named = holdings(self.table(), _BUDGET, Holder("a", "a-1"), 10.0)
-        assert [p.instance for p in next_asked(list(self._PEERS), named)] == ["b", "e"]
+        assert [p.instance for p in peers_with_holdings(list(self._PEERS), named)] == ["b", "e"]
 
-    def test_a_claim_of_an_earlier_version_holds_nothing_that_is_known(self) -> None:
+    def test_claim_record_without_held_field_decodes_as_zero(self) -> None:
         claim = Claim(_BUDGET, Holder("a", "a-1"), 1000, 10, 20, 5, 1.5, 300)
         record = encode_claim(claim)
         assert decode(record) == claim
@@ -170,48 +176,48 @@
 
 
 class TestLoans:
-    def test_lost_answer_of_a_loan(self) -> None:
+    def test_repeated_loan_call_lends_once(self) -> None:
         """Symptom: tokens are gone that nobody spent.
 
         Sequence: a peer takes tokens out, its answer is lost, the borrower asks again.
         Cause: the second call took out a second loan, and the first one was nobody's.
         """
         held = HeldBudget(_BUDGET, limit_tokens=100, window_tokens=100, base_tokens=100)
-        loans = LoanBook()
-        first = loans.lend(held, "x", kept_tokens=0, needed_tokens=40, extra_tokens=0)
-        again = loans.lend(held, "x", kept_tokens=0, needed_tokens=40, extra_tokens=0)
+        loans = LoanLog()
+        first = loans.lend(held, "x", withheld_tokens=0, needed_tokens=40, extra_tokens=0)
+        again = loans.lend(held, "x", withheld_tokens=0, needed_tokens=40, extra_tokens=0)
         assert (first, again, held.available_tokens) == (40, 40, 60)
 
-    def test_what_a_stopping_peer_leaves_is_taken_once(self) -> None:
+    def test_repeated_handover_is_received_once(self) -> None:
         """Symptom: more is spent than was paid.
 
         Sequence: a peer that stops leaves tokens, its call comes twice.
         Cause: the second call was taken for more tokens.
         """
         held = HeldBudget(_BUDGET)
-        loans = LoanBook()
+        loans = LoanLog()
         assert [loans.take_over(held, "x", 40), loans.take_over(held, "x", 40)] == [40, 0]
         assert held.available_tokens == 40
 
-    def test_a_lender_keeps_what_its_urgent_requests_need(self) -> None:
+    def test_lender_lends_no_withheld_tokens(self) -> None:
         held = HeldBudget(_BUDGET, limit_tokens=100, window_tokens=100, base_tokens=100)
-        assert LoanBook().lend(held, "x", kept_tokens=90, needed_tokens=40, extra_tokens=0) == 10
+        assert LoanLog().lend(held, "x", withheld_tokens=90, needed_tokens=40, extra_tokens=0) == 10
 
     def test_extra_is_at_most_half_of_what_the_lender_can_spare(self) -> None:
         held = HeldBudget(_BUDGET, limit_tokens=100, window_tokens=100, base_tokens=100)
-        assert LoanBook().lend(held, "x", kept_tokens=0, needed_tokens=10, extra_tokens=90) == 50
+        assert LoanLog().lend(held, "x", withheld_tokens=0, needed_tokens=10, extra_tokens=90) == 50
 
-    def test_a_silent_peer_is_not_asked_for_a_while(self) -> None:
+    def test_unresponsive_peer_is_not_asked_for_two_seconds(self) -> None:
         """Symptom: in a cut every request waits for the same dead peer's timeout.
 
         Sequence: a peer is cut off; each request that needs a loan asks it first.
         Cause: the silence of the one call was not remembered for the next.
         """
         peers = [Peer("b", "1", "b:1"), Peer("c", "1", "c:1")]
-        table = book_with(claim(_OTHER, 60)).table
+        table = local_claims_with(claim(_OTHER, 60)).table
         choice = PeerChoice()
         assert [p.instance for p in choice.order(peers, table, _BUDGET, 0.0)] == ["b", "c"]
-        choice.silent(peers[0], 0.0)
+        choice.mark_unresponsive(peers[0], 0.0)
         assert [p.instance for p in choice.order(peers, table, _BUDGET, 1.0)] == ["c"]
         assert len(choice.order(peers, table, _BUDGET, 2.5)) == 2
 
@@ -224,32 +230,32 @@
         log = RenewalLog()
         self.last = Renewal(Peer("a", "1", "a:1"), 100.0, 10)
         self.start = Renewal(Peer("a", "2", "a:1"), 100.0 + gap_s + 0.1, 20)
-        log.note(self.last)
-        log.note(self.start)
+        log.add(self.last)
+        log.add(self.start)
         for number, name in enumerate(("b", "c", "d", "e")):
             peer = Peer(name, "1", f"{name}:1")
             jump_s = jumps_s.get(name, 0.0)
-            log.note(Renewal(peer, 99.7, 5 + number))
-            log.note(Renewal(peer, 100.0 + gap_s + 0.5 + jump_s, 21 + number))
+            log.add(Renewal(peer, 99.7, 5 + number))
+            log.add(Renewal(peer, 100.0 + gap_s + 0.5 + jump_s, 21 + number))
         self.started_s = 100.0 + gap_s + jumps_s.get("a", 0.0)
         return log
 
-    def proves(self, gap_s: float, jumps_s: dict[str, float] | None = None) -> bool:
+    def proves_not_fully_open(self, gap_s: float, jumps_s: dict[str, float] | None = None) -> bool:
         log = self.log(gap_s, jumps_s)
-        proven_s = log.longest_gap_s(self.last, self.start, self.started_s, 0.1)
-        return proven_s is not None and not opening_after(proven_s).all_claimed
+        proven_s = log.max_gap_s(self.last, self.start, self.started_s, 0.1)
+        return proven_s is not None and not opening_after(proven_s).is_full
 
-    def test_a_quick_restart_is_proven(self) -> None:
-        assert self.proves(2.5)
+    def test_quick_restart_is_proven(self) -> None:
+        assert self.proves_not_fully_open(2.5)
 
-    def test_how_long_the_dead_was_out_of_touch(self) -> None:
+    def test_proven_gap_excludes_start_of_successor(self) -> None:
         """The others' renewals were 3.3 s apart, of which the successor's start took 0.1 s."""
         log = self.log(2.5)
-        proven_s = log.longest_gap_s(self.last, self.start, self.started_s, 0.1)
+        proven_s = log.max_gap_s(self.last, self.start, self.started_s, 0.1)
         assert proven_s is not None
         assert 3.2 <= proven_s < 3.5
 
-    def test_the_start_of_the_successor_does_not_count(self) -> None:
+    def test_start_time_of_successor_shortens_proven_gap(self) -> None:
         """Symptom: what a machine held that was dark for 3.5 s stays stranded for the day.
 
         Sequence: it loses power; its successor's first renewal comes 0.7 s after its start.
@@ -257,37 +263,37 @@
         predecessor could have spent.
         """
         log = self.log(3.6)
-        slow_s = log.longest_gap_s(self.last, self.start, self.started_s, 0.0)
-        quick_s = log.longest_gap_s(self.last, self.start, self.started_s, 0.7)
-        assert slow_s is not None and opening_after(slow_s).all_claimed
-        assert quick_s is not None and not opening_after(quick_s).all_claimed
+        slow_s = log.max_gap_s(self.last, self.start, self.started_s, 0.0)
+        quick_s = log.max_gap_s(self.last, self.start, self.started_s, 0.7)
+        assert slow_s is not None and opening_after(slow_s).is_full
+        assert quick_s is not None and not opening_after(quick_s).is_full
 
-    def test_a_slow_restart_is_not(self) -> None:
-        assert not self.proves(UNLOCK_S + 0.1)
+    def test_slow_restart_is_not_proven(self) -> None:
+        assert not self.proves_not_fully_open(UNLOCK_S + 0.1)
 
-    def test_clock_that_jumps_back_while_the_process_is_down(self) -> None:
+    def test_own_clock_jump_is_not_taken_as_proof(self) -> None:
         """Symptom: tokens that a process spent past its window are given back and spent again.
 
         Sequence: it is cut off for long, spends past its window and dies; the time of day of its
         machine jumps back, and its successor takes the time since the last renewal for short.
         Cause: one machine's time of day was believed.
         """
-        assert not self.proves(8.0, {"a": -6.0})
+        assert not self.proves_not_fully_open(8.0, {"a": -6.0})
 
-    def test_one_other_clock_that_jumps_along_is_not_enough(self) -> None:
-        assert not self.proves(8.0, {"a": -6.0, "b": -6.0})
+    def test_two_clocks_jumping_together_are_not_taken_as_proof(self) -> None:
+        assert not self.proves_not_fully_open(8.0, {"a": -6.0, "b": -6.0})
 
-    def test_without_renewals_of_others_nothing_is_proven(self) -> None:
+    def test_no_gap_is_proven_without_renewals_of_others(self) -> None:
         log = RenewalLog()
         last, start = (
             Renewal(Peer("a", "1", "a:1"), 100.0, 1),
             Renewal(Peer("a", "2", "a:1"), 102.0, 2),
         )
-        log.note(last)
-        log.note(start)
-        assert log.longest_gap_s(last, start, 101.9, 0.1) is None
+        log.add(last)
+        log.add(start)
+        assert log.max_gap_s(last, start, 101.9, 0.1) is None
 
-    def test_another_address_is_no_successor(self) -> None:
+    def test_process_at_another_address_is_no_successor(self) -> None:
         log = self.log(2.5)
         moved = Renewal(Peer("a", "2", "z:1"), self.start.wall_s, self.start.offset)
-        assert log.longest_gap_s(self.last, moved, self.started_s, 0.1) is None
+        assert log.max_gap_s(self.last, moved, self.started_s, 0.1) is None
--- a/mothstand/tests/test_config.py
+++ b/mothstand/tests/test_config.py
@@ -63,7 +63,7 @@
         assert "ito" in lost.reason
         assert publishing.fold.state.config.budgets["lund"].paid_tokens == 1000  # type: ignore[index]
 
-    def test_appended_twice_counts_once(self) -> None:
+    def test_record_appended_twice_is_applied_once(self) -> None:
         """Symptom: an operator's change is undone by an older one that comes again.
 
         Sequence: the answer to an append is lost, another operator publishes, the first append is
@@ -86,7 +86,7 @@
         assert "900" in lowered.reason
         assert "1000" in lowered.reason
 
-    def test_invalid_is_refused_and_nothing_changes(self) -> None:
+    def test_invalid_configuration_is_refused_and_changes_nothing(self) -> None:
         publishing = Publishing()
         publishing.publish(SECTIONS, base=0)
         broken = {
@@ -130,19 +130,19 @@
         (tmp_path / "10.ini").write_text("[workspace w]\npriority = 1\n", encoding="utf-8")
         assert read_folder(tmp_path) == {"workspace w": {"priority": "2"}}
 
-    def test_empty_folder(self, tmp_path: Path) -> None:
+    def test_empty_folder_is_refused(self, tmp_path: Path) -> None:
         with pytest.raises(SettingsError, match=r"no \*\.ini file"):
             read_folder(tmp_path)
 
 
 class TestInstanceSettings:
-    def test_error_is_clear(self, tmp_path: Path) -> None:
+    def test_error_quotes_key_and_value(self, tmp_path: Path) -> None:
         path = tmp_path / "a.ini"
         path.write_text("[instance]\nname = a\ndata_centre = x\nledger_shards = 0\n")
         with pytest.raises(SettingsError, match="ledger_shards = '0'"):
             read_instance_settings(path)
 
-    def test_unknown_section(self, tmp_path: Path) -> None:
+    def test_unknown_section_is_refused(self, tmp_path: Path) -> None:
         path = tmp_path / "a.ini"
         path.write_text("[instanec]\n")
         with pytest.raises(SettingsError, match=r"\[instanec\] is unknown"):
--- a/mothstand/tests/test_end_watch.py
+++ b/mothstand/tests/test_crash_detector.py
@@ -8,7 +8,13 @@
 
 from ..core.request_digest import RequestDigest
 from ..core.upstreams import RegisteredUpstream
-from ..gateway.end_watch import BrokenAttempt, EndWatch, Liveness, LivenessCheck, TcpLivenessCheck
+from ..gateway.crash_detector import (
+    BrokenAttempt,
+    CrashDetector,
+    Liveness,
+    LivenessCheck,
+    TcpLivenessCheck,
+)
 from ..testing.virtual_time import VirtualClock, run_in_virtual_time
 from ..types import DataCentre
 
@@ -23,20 +29,22 @@
 
 class ScriptedCheck(LivenessCheck):
     def __init__(self, *script: Liveness) -> None:
-        self.checked = 0
+        self.checks = 0
         self._script = list(script)
 
     async def check(self, address: str) -> Liveness:
-        self.checked += 1
+        self.checks += 1
         return self._script.pop(0)
 
 
-class World:
+class DetectorHarness:
     def __init__(self, *script: Liveness) -> None:
-        self.ended: list[str] = []
+        self.crashed_request_ids: list[str] = []
         self.check = ScriptedCheck(*script)
-        self.watch = EndWatch(
-            self.check, VirtualClock(), lambda _, attempt: self.ended.append(attempt.request_id)
+        self.detector = CrashDetector(
+            self.check,
+            VirtualClock(),
+            lambda _, attempt: self.crashed_request_ids.append(attempt.request_id),
         )
 
     def play(self, *steps: object) -> None:
@@ -44,12 +52,12 @@
 
         async def main() -> None:
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(self.watch.run)
+                tasks.start_soon(self.detector.run)
                 for step in steps:
                     if isinstance(step, BrokenAttempt):
-                        self.watch.broke(upstream(), step)
+                        self.detector.note_broken_attempt(upstream(), step)
                     elif isinstance(step, RegisteredUpstream):
-                        self.watch.gone(step)
+                        self.detector.note_deregistered(step)
                     elif isinstance(step, float):
                         await anyio.sleep(step)
                 tasks.cancel_scope.cancel()
@@ -57,57 +65,57 @@
         run_in_virtual_time(main)
 
 
-class TestEndWatch:
-    def test_a_refused_connection_proves_the_end_for_all_that_broke(self) -> None:
-        world = World(Liveness.ENDED)
+class TestCrashDetector:
+    def test_refused_connection_proves_crash_for_all_broken_requests(self) -> None:
+        world = DetectorHarness(Liveness.NOT_LISTENING)
         world.play(attempt("a"), attempt("b"), 0.1, attempt("c"))
-        assert world.ended == ["a", "b", "c"]
-        assert world.check.checked == 1
+        assert world.crashed_request_ids == ["a", "b", "c"]
+        assert world.check.checks == 1
 
-    def test_an_upstream_that_takes_connections_has_not_ended(self) -> None:
+    def test_upstream_that_accepts_connections_has_not_crashed(self) -> None:
         # Guards against resets and broken answers of living upstreams that count as their ends.
-        world = World(Liveness.LIVES)
+        world = DetectorHarness(Liveness.LISTENING)
         world.play(attempt("a"), 5.0)
-        assert world.ended == []
+        assert world.crashed_request_ids == []
 
-    def test_a_dark_upstream_is_checked_again(self) -> None:
-        world = World(Liveness.UNKNOWN, Liveness.ENDED)
+    def test_upstream_without_answer_is_checked_again(self) -> None:
+        world = DetectorHarness(Liveness.UNKNOWN, Liveness.NOT_LISTENING)
         world.play(attempt("a"), 1.0)
-        assert world.ended == ["a"]
+        assert world.crashed_request_ids == ["a"]
 
-    def test_a_registration_that_ends_proves_it_too(self) -> None:
+    def test_deregistration_proves_crash(self) -> None:
         # Guards against an end that is seen late, when a later start has the address already.
-        world = World(Liveness.LIVES)
+        world = DetectorHarness(Liveness.LISTENING)
         world.play(attempt("a"), 4.5, upstream())
-        assert world.ended == ["a"]
+        assert world.crashed_request_ids == ["a"]
 
-    def test_an_upstream_that_drained_has_not_ended_under_a_request(self) -> None:
-        world = World(Liveness.LIVES)
+    def test_deregistration_after_draining_is_no_crash(self) -> None:
+        world = DetectorHarness(Liveness.LISTENING)
         world.play(attempt("a"), 1.0, upstream(draining=True))
-        assert world.ended == []
+        assert world.crashed_request_ids == []
 
-    def test_an_end_long_after_is_no_proof(self) -> None:
-        world = World(Liveness.UNKNOWN, Liveness.UNKNOWN, Liveness.UNKNOWN)
+    def test_deregistration_long_after_break_is_no_crash(self) -> None:
+        world = DetectorHarness(Liveness.UNKNOWN, Liveness.UNKNOWN, Liveness.UNKNOWN)
         world.play(attempt("a"), 11.0, upstream())
-        assert world.ended == []
+        assert world.crashed_request_ids == []
 
 
 class TestTcpLivenessCheck:
-    def test_tells_a_listener_from_a_closed_port(self) -> None:
+    def test_distinguishes_listener_from_closed_port(self) -> None:
         with socket.create_server(("127.0.0.1", 0)) as server:
             address = f"127.0.0.1:{server.getsockname()[1]}"
-            assert anyio.run(TcpLivenessCheck(1.0).check, address) is Liveness.LIVES
-        assert anyio.run(TcpLivenessCheck(1.0).check, address) is Liveness.ENDED
+            assert anyio.run(TcpLivenessCheck(1.0).check, address) is Liveness.LISTENING
+        assert anyio.run(TcpLivenessCheck(1.0).check, address) is Liveness.NOT_LISTENING
 
 
 class TestLaterBreaks:
-    def test_an_end_after_a_harmless_break_is_checked_again(self) -> None:
+    def test_break_after_harmless_break_is_checked_again(self) -> None:
         # Guards against a reset that hides the end of the same upstream some seconds later.
-        world = World(Liveness.LIVES, Liveness.ENDED)
+        world = DetectorHarness(Liveness.LISTENING, Liveness.NOT_LISTENING)
         world.play(attempt("a"), 5.0, attempt("b"), 0.1)
-        assert "b" in world.ended
+        assert "b" in world.crashed_request_ids
 
-    def test_a_registration_that_ends_soon_after_the_latest_break_proves_it(self) -> None:
-        world = World(Liveness.LIVES, Liveness.LIVES)
+    def test_deregistration_soon_after_latest_break_proves_crash(self) -> None:
+        world = DetectorHarness(Liveness.LISTENING, Liveness.LISTENING)
         world.play(attempt("a"), 9.0, attempt("b"), 4.5, upstream())
-        assert world.ended == ["b"]
+        assert world.crashed_request_ids == ["b"]
--- a/mothstand/tests/test_crash_histories.py
+++ b/mothstand/tests/test_crash_histories.py
@@ -7,14 +7,14 @@
 
 import pytest
 
+from ..testing.crash_faults import InjectedFault
 from ..testing.crash_fleet import ALLOWED_ARRIVALS
 from ..testing.crash_histories import (
-    ALL_CRASH_TROUBLES,
+    ALL_CRASH_DISRUPTIONS,
+    CrashDisruption,
     CrashHistory,
     CrashResult,
-    CrashTrouble,
 )
-from ..testing.crash_plants import CrashPlant
 
 _SEEDS = range(4)
 
@@ -23,8 +23,8 @@
 
 
 def play(
-    troubles: CrashTrouble,
-    plant: CrashPlant = CrashPlant.NONE,
+    troubles: CrashDisruption,
+    plant: InjectedFault = InjectedFault.NONE,
     **options: Any,
 ) -> list[CrashResult]:
     return [CrashHistory(seed, troubles, plant, **options).run() for seed in _SEEDS]
@@ -41,9 +41,9 @@
 
 class TestCrashHistories:
     @pytest.mark.parametrize(
-        "troubles", [*CrashTrouble, CrashTrouble.NONE, ALL_CRASH_TROUBLES], ids=str
+        "troubles", [*CrashDisruption, CrashDisruption.NONE, ALL_CRASH_DISRUPTIONS], ids=str
     )
-    def test_the_bound_holds_and_others_are_served(self, troubles: CrashTrouble) -> None:
+    def test_the_bound_holds_and_others_are_served(self, troubles: CrashDisruption) -> None:
         # Guards against ends that an instance forgets, keeps to itself, or blames on others.
         results = play(troubles)
         assert worst(results) <= ALLOWED_ARRIVALS
@@ -51,8 +51,8 @@
         popular = share(results, "popular", "answered")
         assert popular >= share(results, "distinct", "answered") - _CHANCE
 
-    @pytest.mark.parametrize("troubles", [CrashTrouble.NONE, ALL_CRASH_TROUBLES], ids=str)
-    def test_the_bound_holds_where_callers_repeat(self, troubles: CrashTrouble) -> None:
+    @pytest.mark.parametrize("troubles", [CrashDisruption.NONE, ALL_CRASH_DISRUPTIONS], ids=str)
+    def test_the_bound_holds_where_callers_repeat(self, troubles: CrashDisruption) -> None:
         # Guards against callers that reach two upstreams with each of several quick repeats.
         results = play(troubles, repeats=3)
         assert worst(results) <= ALLOWED_ARRIVALS
@@ -61,8 +61,8 @@
     def test_no_other_request_pays_for_upstreams_that_end_in_series(self, repeats: int) -> None:
         # Guards against requests that are refused because upstreams ended for another cause.
         with_it, without = (
-            play(CrashTrouble.ENGINES_CRASH, plant, has_crashing=False, repeats=repeats)
-            for plant in (CrashPlant.NONE, CrashPlant.HOLDS_NOTHING)
+            play(CrashDisruption.ENGINES_CRASH, plant, has_crashing=False, repeats=repeats)
+            for plant in (InjectedFault.NONE, InjectedFault.HOLDS_NOTHING)
         )
         for kind in ("popular", "distinct"):
             served = share(without, kind, "answered")
@@ -71,43 +71,43 @@
     @pytest.mark.parametrize("order", [14, 18, 63])
     def test_a_popular_request_is_tried_again_where_all_instances_restart(self, order: int) -> None:
         # Guards against trials that nobody makes, and pauses that each start begins anew.
-        results = play(ALL_CRASH_TROUBLES, order=order)
+        results = play(ALL_CRASH_DISRUPTIONS, order=order)
         assert worst(results) <= ALLOWED_ARRIVALS
         popular = share(results, "popular", "answered")
         assert popular >= share(results, "distinct", "answered") - _CHANCE
 
     def test_the_bound_holds_in_a_larger_fleet(self) -> None:
-        assert worst(play(ALL_CRASH_TROUBLES, instances=18)) <= ALLOWED_ARRIVALS
+        assert worst(play(ALL_CRASH_DISRUPTIONS, instances=18)) <= ALLOWED_ARRIVALS
 
     def test_the_bound_holds_where_most_appends_fail(self) -> None:
         # Guards against an end that is told once, and lost with a failed append.
-        results = play(CrashTrouble.STORE_AWAY, instances=18, failing_appends=0.9)
+        results = play(CrashDisruption.STORE_AWAY, instances=18, failing_appends=0.9)
         assert worst(results) <= ALLOWED_ARRIVALS
 
     def test_broken_connections_of_living_upstreams_are_no_ends(self) -> None:
-        results = play(CrashTrouble.RESETS, has_crashing=False, reset_share=0.5)
+        results = play(CrashDisruption.RESETS, has_crashing=False, reset_share=0.5)
         assert share(results, "popular", "quarantined") == 0.0
 
     def test_planted_faults_are_found(self) -> None:
-        lonely = play(CrashTrouble.NONE, CrashPlant.KEEPS_TO_ITSELF, instances=18)
+        lonely = play(CrashDisruption.NONE, InjectedFault.KEEPS_TO_ITSELF, instances=18)
         assert worst(lonely) > ALLOWED_ARRIVALS
         forgetful = (
             CrashHistory(
                 seed,
-                CrashTrouble.STORE_AWAY,
-                CrashPlant.TELLS_ONCE,
+                CrashDisruption.STORE_AWAY,
+                InjectedFault.TELLS_ONCE,
                 instances=18,
                 failing_appends=0.9,
             )
             for seed in range(24)
         )
         assert any(history.run().late_arrivals > ALLOWED_ARRIVALS for history in forgetful)
-        stubborn = play(CrashTrouble.ENGINES_CRASH, CrashPlant.NEVER_CLEARS)
+        stubborn = play(CrashDisruption.ENGINES_CRASH, InjectedFault.NEVER_CLEARS)
         served = share(stubborn, "distinct", "answered")
         assert share(stubborn, "popular", "answered") < served - _CHANCE
         credulous = play(
-            CrashTrouble.RESETS,
-            CrashPlant.TAKES_BREAKS_FOR_ENDS,
+            CrashDisruption.RESETS,
+            InjectedFault.TAKES_BREAKS_FOR_ENDS,
             has_crashing=False,
             reset_share=0.5,
         )
--- a/mothstand/tests/test_places.py
+++ b/mothstand/tests/test_data_centres.py
@@ -11,7 +11,7 @@
 
 from ..testing.examples import call_service, chat, write_folder
 from ..testing.fleet import Fleet, wait_until
-from ..testing.load import Got, Load
+from ..testing.load import CallOutcome, Load
 from ..testing.views import all_witnessed, holder_of, view_of
 from ..types import DataCentre
 from .test_failures import LUND, check_history
@@ -73,12 +73,12 @@
             folder = write_folder(tmp_path / "folder", places, paid_tokens={"lund": 24_000})
             # Cut off from the platform only, it gets the configuration from its peers elsewhere.
             assert places.publish(folder).returncode == 0
-            wait_until(lambda: load.count(Got.REFUSED) > 30, "the budget runs dry", 60.0)
+            wait_until(lambda: load.count(CallOutcome.REFUSED) > 30, "the budget runs dry", 60.0)
             places.set_faults("platform", mode="ok")
             time.sleep(3.0)
         view = check_history(places, load, paid_tokens=24_000)
         assert all(fold.ungranted_tokens(LUND) >= 0 for fold in view.ledgers.values())
-        kinds = {record.kind for record in load.records if record.got is Got.REFUSED}
+        kinds = {record.kind for record in load.records if record.outcome is CallOutcome.REFUSED}
         assert kinds <= {"budget_exhausted", "budget_reserved", "budget_out_of_reach"}
 
     def test_leaseholder_dies_inside_a_cut(self, places: Fleet) -> None:
@@ -123,7 +123,7 @@
         with Load(urls(places, "sto-a-1"), callers=4, max_tokens=16, stream_share=1.0) as load:
             time.sleep(4.0)
         served_elsewhere = {entry["request_id"] for entry in places.journal("llm-b")}
-        whole = [record for record in load.records if record.got is Got.WHOLE]
+        whole = [record for record in load.records if record.outcome is CallOutcome.WHOLE]
         assert any(f"{record.request_id}/1" in served_elsewhere for record in whole)
         assert any(f"{record.request_id}/1" not in served_elsewhere for record in whole)
         check_history(places, load, paid_tokens=20_000)
--- a/mothstand/tests/test_leaving_upstreams.py
+++ b/mothstand/tests/test_deregistered_upstreams.py
@@ -17,7 +17,7 @@
 import anyio
 
 from ..gateway.upstream_feed import UpstreamFeed
-from ..log.health import LogHealth
+from ..log.health import PlatformHealth
 from ..platform.records import UPSTREAMS_STREAM, decode_upstream
 from ..testing.fakes import NoWitness
 from ..testing.memory_store import STORE_CONNECT_S, MemoryStore, StoreLink
@@ -29,10 +29,10 @@
 
 #: Maximum seconds from the moment an instance can reach the store again until it acts on all
 #: records: the platform's guarantee to upstreams that deregister.
-_IN_TOUCH_AFTER_S = 3.0
+_MAX_REACTION_S = 3.0
 
 #: Maximum seconds from the end of a store outage until live upstreams have registered again.
-_BACK_WITHIN_S = 2.0
+_MAX_REREGISTRATION_S = 2.0
 
 #: Minimum duration of a cut, during which an upstream deregisters.
 _CUT_S = 12.0
@@ -52,20 +52,20 @@
             self.link,
             UPSTREAMS_STREAM,
             clock,
-            LogHealth(clock),
+            PlatformHealth(clock),
             decode_upstream,
             lambda _: None,
             wait_s=1.0,
             witness=NoWitness(),
         )
-        self.used: list[tuple[float, set[str]]] = []
+        self.used_ids: list[tuple[float, set[str]]] = []
 
     def register(self, upstream_id: str) -> None:
         """Write the registration of an upstream that accepts requests."""
         entry = json.dumps(registration("llm", f"10.0.0.{len(upstream_id)}:80"))
         self.store.put(UPSTREAMS_STREAM, upstream_id, entry.encode())
 
-    def end(self, upstream_id: str) -> None:
+    def deregister(self, upstream_id: str) -> None:
         """Delete a registration."""
         self.store.put(UPSTREAMS_STREAM, upstream_id, None)
 
@@ -85,15 +85,15 @@
             await anyio.sleep(began_s + cut_s - anyio.current_time())
             self.link.is_cut = False
             ended_s = anyio.current_time()
-            while anyio.current_time() < ended_s + 2 * _IN_TOUCH_AFTER_S:
-                ids = {u.upstream_id for u in self.feed.directory.of_service("llm")}
-                self.used.append((anyio.current_time() - ended_s, ids))
+            while anyio.current_time() < ended_s + 2 * _MAX_REACTION_S:
+                ids = {u.upstream_id for u in self.feed.directory.accepting_upstreams("llm")}
+                self.used_ids.append((anyio.current_time() - ended_s, ids))
                 await anyio.sleep(0.02)
             tasks.cancel_scope.cancel()
 
     def last_used_s(self, upstream_id: str) -> float:
         """Return the seconds from the end of the cut to the last use of an upstream."""
-        return max((at_s for at_s, ids in self.used if upstream_id in ids), default=0.0)
+        return max((at_s for at_s, ids in self.used_ids if upstream_id in ids), default=0.0)
 
 
 def _worst_s(scenario: Callable[[_Instance], dict[float, Callable[[], None]]]) -> float:
@@ -109,29 +109,29 @@
         instance.register("leaves")
         steps = scenario(instance)
         run_in_virtual_time(partial(instance.run_through_cut, _CUT_S + phase_s, steps))
-        assert all("stays" in ids for _, ids in instance.used)
+        assert all("stays" in ids for _, ids in instance.used_ids)
         worst_s = max(worst_s, instance.last_used_s("leaves"))
     return worst_s
 
 
-class TestLeavingUpstreams:
-    def test_left_while_cut_off(self) -> None:
+class TestDeregisteredUpstreams:
+    def test_deregistered_during_a_cut_is_dropped_in_time(self) -> None:
         """Guards against requests to a deregistered upstream 3 s after a cut, as in the module."""
-        worst_s = _worst_s(lambda instance: {3.0: lambda: instance.end("leaves")})
-        assert worst_s < _IN_TOUCH_AFTER_S
+        worst_s = _worst_s(lambda instance: {3.0: lambda: instance.deregister("leaves")})
+        assert worst_s < _MAX_REACTION_S
 
-    def test_left_while_cut_off_and_the_history_was_dropped(self) -> None:
+    def test_deregistered_during_a_cut_with_lost_history_is_dropped_in_time(self) -> None:
         """Guards against the same when the instance reads a listing without the upstream."""
 
         def scenario(instance: _Instance) -> dict[float, Callable[[], None]]:
             def drop() -> None:
                 instance.store.drop_history(UPSTREAMS_STREAM)
 
-            return {3.0: lambda: instance.end("leaves"), 4.0: drop}
+            return {3.0: lambda: instance.deregister("leaves"), 4.0: drop}
 
-        assert _worst_s(scenario) < _IN_TOUCH_AFTER_S
+        assert _worst_s(scenario) < _MAX_REACTION_S
 
-    def test_lapsed_while_the_store_was_away(self) -> None:
+    def test_registration_expired_in_a_store_outage_stays_in_use(self) -> None:
         """Guards against refusal of all requests for up to 2 s after a store outage.
 
         Registrations expired in the outage and were dropped at once, before live upstreams had
@@ -141,14 +141,14 @@
             random.seed(phase_s)
             instance = _Instance()
             instance.register("lives")
-            run_in_virtual_time(partial(_lapse, instance, _CUT_S + phase_s))
-            assert all("lives" in ids for _, ids in instance.used)
+            run_in_virtual_time(partial(_expire_and_register_again, instance, _CUT_S + phase_s))
+            assert all("lives" in ids for _, ids in instance.used_ids)
 
 
-async def _lapse(instance: _Instance, outage_s: float) -> None:
+async def _expire_and_register_again(instance: _Instance, outage_s: float) -> None:
     """Delete a registration in an outage, and write it again at the latest allowed time."""
-    steps = {_CUT_S - 1.0: lambda: instance.end("lives")}
+    steps = {_CUT_S - 1.0: lambda: instance.deregister("lives")}
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(instance.run_through_cut, outage_s, steps)
-        await anyio.sleep(1.0 + outage_s + _BACK_WITHIN_S)
+        await anyio.sleep(1.0 + outage_s + _MAX_REREGISTRATION_S)
         instance.register("lives")
--- a/mothstand/tests/test_docs.py
+++ b/mothstand/tests/test_docs.py
@@ -28,11 +28,11 @@
 
 class TestPages:
     @pytest.mark.parametrize("name", list(PAGES))
-    def test_page_is_as_the_code_says(self, name: str) -> None:
+    def test_page_matches_the_code(self, name: str) -> None:
         written = (ROOT / "docs" / name).read_text(encoding="utf-8")
         assert written == PAGES[name](), "run 'python -m mothstand.docs_pages'"
 
-    def test_links_lead_somewhere(self) -> None:
+    def test_relative_links_point_to_existing_files(self) -> None:
         for page in [ROOT / "README.md", *(ROOT / "docs").rglob("*.md")]:
             text = page.read_text(encoding="utf-8")
             for part in text.split("](")[1:]:
@@ -42,10 +42,10 @@
 
 
 class TestTables:
-    def test_every_kind_has_its_answer(self) -> None:
+    def test_every_error_kind_has_an_answer(self) -> None:
         assert set(ANSWERS) == set(ErrorKind)
 
-    def test_what_may_have_run_is_not_repeated_blindly(self) -> None:
+    def test_kinds_that_may_have_run_have_no_retry_after(self) -> None:
         for kind, row in ANSWERS.items():
             if row.run_state is not RunState.NOT_RUN and kind is not ErrorKind.KEY_RUNNING:
                 assert row.retry_after_s is None, kind
--- a/mothstand/tests/test_escrow_agent.py
+++ b/mothstand/tests/test_escrow_agent.py
@@ -20,7 +20,7 @@
 from ..ledger.escrow_agent import EscrowAgent
 from ..ledger.state import ShardContext, ShardState
 from ..settings.instance import TimingSection
-from ..testing.fakes import FakeBeliefs, FakeClock, FakeWriter, NoPeers
+from ..testing.fakes import FakeClock, FakeMembership, FakeWriter, NoPeers
 from ..types import NO_EPOCH, BudgetName, DataCentre, Epoch, Member, Shard
 
 LUND = BudgetName("lund")
@@ -36,7 +36,7 @@
         self.clock = FakeClock()
         self.writer: FakeWriter[LedgerRecord] = FakeWriter(ME.incarnation)
         context = ShardContext(
-            membership=FakeBeliefs(ME, PLACE),
+            membership=FakeMembership(ME, PLACE),
             calls=NoPeers(),
             clock=self.clock,
             timing=TimingSection.model_validate({}),
@@ -50,7 +50,7 @@
         self.state.fold.apply(1, BudgetPaid(RecordId("o", 1), LUND, 1000))
         self.state.fold.apply(2, opened)
         self.state.fold.apply(3, GrantAsked(RecordId("seed", 2), EPOCH, (ask,)))
-        self.account = self.state.holders[EPOCH] = HolderAccount(EPOCH, witnessed=True)
+        self.account = self.state.holders[EPOCH] = HolderAccount(EPOCH, has_witness=True)
         self.agent = EscrowAgent(self.state, self.writer, lambda: None)  # type: ignore[arg-type]
 
     def returned(self) -> list[int]:
@@ -99,7 +99,7 @@
     def test_nothing_that_is_not_free(self, leader: Leader) -> None:
         leader.agent.return_tokens(LUND, 901, Lane.WITNESSED)
         leader.agent.return_tokens(LUND, 0, Lane.WITNESSED)
-        assert leader.account.take_batch() is None
+        assert leader.account.next_batch() is None
 
 
 class TestAsking:
--- a/mothstand/tests/test_event_stream.py
+++ b/mothstand/tests/test_event_stream.py
@@ -10,34 +10,34 @@
 
 
 class TestEventSplitter:
-    def test_events_come_whole_however_the_bytes_come(self) -> None:
+    def test_events_are_complete_for_any_chunking(self) -> None:
         splitter = EventSplitter()
         body = event(1) + event(2)
         raws = [e.raw for n in range(len(body)) for e in splitter.feed(body[n : n + 1])]
         assert raws == [event(1), event(2)]
         assert splitter.is_between_events
 
-    def test_half_an_event_is_kept(self) -> None:
+    def test_partial_event_is_buffered(self) -> None:
         splitter = EventSplitter()
         assert splitter.feed(b"id: 1\ndata: wo") == []
         assert not splitter.is_between_events
 
 
 class TestStreamProgress:
-    def test_upstream_that_stops_inside_an_event(self) -> None:
+    def test_partial_event_is_dropped_when_another_upstream_continues(self) -> None:
         """Symptom: a caller gets half an event, and another one's start behind it.
 
         Sequence: an upstream crashes in the middle of an event, another goes on.
         Cause: bytes were passed on as they came.
         """
         progress = StreamProgress()
-        assert progress.take(event(1) + b"id: 2\nda") == event(1)
+        assert progress.feed(event(1) + b"id: 2\nda") == event(1)
         progress.restart()
-        assert progress.take(event(2)) == event(2)
-        assert (progress.events, progress.last_event_id) == (2, "2")
+        assert progress.feed(event(2)) == event(2)
+        assert (progress.sent_events, progress.last_event_id) == (2, "2")
 
-    def test_events_that_the_caller_has_are_not_sent_twice(self) -> None:
+    def test_events_already_sent_are_skipped(self) -> None:
         progress = StreamProgress()
-        progress.take(event(1) + event(2))
+        progress.feed(event(1) + event(2))
         progress.restart()
-        assert progress.take(event(2) + event(3)) == event(3)
+        assert progress.feed(event(2) + event(3)) == event(3)
--- a/mothstand/tests/test_failures.py
+++ b/mothstand/tests/test_failures.py
@@ -21,7 +21,7 @@
 from ..testing.checker import JournalLine, RunHistory, find_violations
 from ..testing.examples import chat, write_folder
 from ..testing.fleet import Fleet, wait_until
-from ..testing.load import Got, Load
+from ..testing.load import CallOutcome, Load
 from ..testing.views import epoch_of, holder_of, view_of
 from ..types import BudgetName, DataCentre, Epoch, Shard
 
@@ -41,7 +41,7 @@
 
 def check_history(fleet: Fleet, load: Load, *, paid_tokens: int = 1_000_000) -> LogView:
     """Wait for the bills of all whole answers, then check the run."""
-    answered = [record for record in load.records if record.got is Got.WHOLE]
+    answered = [record for record in load.records if record.outcome is CallOutcome.WHOLE]
 
     def unbilled() -> list[CallRecord]:
         billed = view_of(fleet).bills.lines.keys()
@@ -74,7 +74,7 @@
 
 def false_refusals(load: Load, after_s: float) -> list[str]:
     """Return the kinds of refusals of requests that began after a moment."""
-    return [r.kind for r in load.records if r.got is Got.REFUSED and r.at_s > after_s]
+    return [r.kind for r in load.records if r.outcome is CallOutcome.REFUSED and r.at_s > after_s]
 
 
 class TestKills:
@@ -87,7 +87,7 @@
         """
         holder, witness = "", ""
         with Load(lambda: live_urls(pair, *INSTANCES)) as load:
-            wait_until(lambda: load.count(Got.WHOLE) > 20, "load runs")
+            wait_until(lambda: load.count(CallOutcome.WHOLE) > 20, "load runs")
             holder, witness = holder_of(pair, LUND, PLACE)
             pair.processes[holder if victim == "holder" else witness].kill()
             pair.publish_list()
@@ -105,14 +105,14 @@
         Cause it guards against: granting again what nobody can vouch for.
         """
         with Load(lambda: live_urls(pair, *INSTANCES)) as load:
-            wait_until(lambda: load.count(Got.WHOLE) > 20, "load runs")
+            wait_until(lambda: load.count(CallOutcome.WHOLE) > 20, "load runs")
             for name in INSTANCES:
                 pair.processes[name].kill()
             for name in INSTANCES:
                 pair.start_instance(name, "sto-a")
             pair.wait_ready(*INSTANCES)
-            whole = load.count(Got.WHOLE)
-            wait_until(lambda: load.count(Got.WHOLE) > whole + 20, "load goes on")
+            whole = load.count(CallOutcome.WHOLE)
+            wait_until(lambda: load.count(CallOutcome.WHOLE) > whole + 20, "load goes on")
         check_history_without_bills_of_the_dead(pair, load)
 
 
@@ -145,7 +145,7 @@
         Cause it guards against: a process that goes on with a lease it lost while it slept.
         """
         with Load(lambda: live_urls(pair, *INSTANCES)) as load:
-            wait_until(lambda: load.count(Got.WHOLE) > 20, "load runs")
+            wait_until(lambda: load.count(CallOutcome.WHOLE) > 20, "load runs")
             holder, witness = holder_of(pair, LUND, PLACE)
             pair.processes[holder].pause()
             wait_until(lambda: holder_of(pair, LUND, PLACE)[0] == witness, "takeover")
@@ -166,7 +166,7 @@
         log has granted it.
         """
         with Load(lambda: live_urls(pair, *INSTANCES)) as load:
-            wait_until(lambda: load.count(Got.WHOLE) > 50, "load runs")
+            wait_until(lambda: load.count(CallOutcome.WHOLE) > 50, "load runs")
             cut_s = time.monotonic()
             pair.set_faults("platform", mode="down", callers=list(INSTANCES))
             time.sleep(3.0)
@@ -187,7 +187,7 @@
         Cause it guards against: taking an unanswered append for one that did not happen.
         """
         with Load(lambda: live_urls(pair, *INSTANCES)) as load:
-            wait_until(lambda: load.count(Got.WHOLE) > 20, "load runs")
+            wait_until(lambda: load.count(CallOutcome.WHOLE) > 20, "load runs")
             pair.set_faults("platform", mode="lose")
             time.sleep(2.0)
             pair.set_faults("platform", mode="ok")
@@ -222,7 +222,7 @@
             return live_urls(pair, *(n for n in names if n not in leaving))
 
         with Load(urls) as load:
-            wait_until(lambda: load.count(Got.WHOLE) > 20, "load runs")
+            wait_until(lambda: load.count(CallOutcome.WHOLE) > 20, "load runs")
             for name in INSTANCES:
                 new = f"{name}-new"
                 pair.start_instance(new, "sto-a")
@@ -233,7 +233,7 @@
                 pair.publish_list()
                 time.sleep(1.0)
         view = check_history(pair, load)
-        assert [r.kind for r in load.records if r.got is Got.REFUSED] == []
+        assert [r.kind for r in load.records if r.outcome is CallOutcome.REFUSED] == []
         wait_until(
             lambda: sum(f.stranded_tokens(LUND) for f in view_of(pair).ledgers.values()) == 0,
             f"nothing is stranded: {view.ledgers}",
@@ -260,7 +260,7 @@
 
         pair.processes[holder].kill()
         wait_until(lambda: holder_of(pair, LUND, PLACE)[0] == witness, "takeover")
-        wait_until(lambda: epoch_of_number(pair, shard, epoch).closed, "the witness closes")
+        wait_until(lambda: epoch_of_number(pair, shard, epoch).is_closed, "the witness closes")
         assert "stranded: shard" in pair.run_command("status", settings).stdout
         time.sleep(1.0)
         released = pair.run_command(*command)
--- a/mothstand/tests/test_feeds.py
+++ b/mothstand/tests/test_feeds.py
@@ -9,7 +9,7 @@
 
 from ..gateway.feeds import ConfigFeed
 from ..gateway.upstream_feed import UpstreamFeed
-from ..log.health import LogHealth
+from ..log.health import PlatformHealth
 from ..platform.records import (
     CONFIG_KEY,
     CONFIG_STREAM,
@@ -30,12 +30,12 @@
 class _CountingLink(StoreLink):
     """Store link that counts the records read."""
 
-    records = 0
+    records_read = 0
 
     async def read(self, stream: Stream, from_offset: int, *, wait_s: float = 0.0) -> StreamPage:
         await anyio.sleep(0.1)
         page = await super().read(stream, from_offset, wait_s=wait_s)
-        self.records += len(page.records)
+        self.records_read += len(page.records)
         return page
 
 
@@ -49,7 +49,13 @@
         link = _CountingLink(store)
         clock = VirtualClock()
         feed = ConfigFeed(
-            link, CONFIG_STREAM, CONFIG_KEY, clock, LogHealth(clock), decode_config, lambda _: None
+            link,
+            CONFIG_STREAM,
+            CONFIG_KEY,
+            clock,
+            PlatformHealth(clock),
+            decode_config,
+            lambda _: None,
         )
 
         def publish(version: int) -> None:
@@ -71,7 +77,7 @@
         run_in_virtual_time(run)
         assert feed.config is not None
         assert feed.config.version == 31
-        assert link.records == 0
+        assert link.records_read == 0
 
 
 class _Registrations:
@@ -79,15 +85,15 @@
 
     def __init__(self) -> None:
         self.store = MemoryStore()
-        self.gone: list[RegisteredUpstream] = []
+        self.removed: list[RegisteredUpstream] = []
         clock = VirtualClock()
         self.feed = UpstreamFeed(
             StoreLink(self.store),
             UPSTREAMS_STREAM,
             clock,
-            LogHealth(clock),
+            PlatformHealth(clock),
             decode_upstream,
-            self.gone.append,
+            self.removed.append,
             wait_s=1.0,
             witness=NoWitness(),
         )
@@ -101,26 +107,26 @@
         """Write an arbitrary value."""
         self.store.put(UPSTREAMS_STREAM, key, value)
 
-    def look(self) -> list[str]:
+    def poll(self) -> list[str]:
         """Read once and return the ids of the upstreams that take requests."""
-        run_in_virtual_time(self.feed.look)
-        return [u.upstream_id for u in self.feed.directory.of_service("llm")]
+        run_in_virtual_time(self.feed.poll)
+        return [u.upstream_id for u in self.feed.directory.accepting_upstreams("llm")]
 
 
 class TestUpstreamFeed:
-    def test_upstream_that_starts_again_under_its_id(self) -> None:
+    def test_upstream_restarted_under_its_id_is_reported_as_removed(self) -> None:
         """Guards against prompts sent to an engine for a cache that it lost by a restart.
 
         Cached prompts were tracked by the engine's id and not by its start.
         """
         registrations = _Registrations()
         registrations.register("i-1", born_ms=1_000)
-        assert registrations.look() == ["i-1"]
+        assert registrations.poll() == ["i-1"]
         registrations.register("i-1", born_ms=2_000)
-        assert registrations.look() == ["i-1"]
-        assert [u.born_ms for u in registrations.gone] == [1_000]
+        assert registrations.poll() == ["i-1"]
+        assert [u.born_ms for u in registrations.removed] == [1_000]
 
-    def test_entries_of_another_writer(self) -> None:
+    def test_unreadable_entry_removes_only_its_upstream(self) -> None:
         """Guards against requests to an upstream with an unreadable entry, or a failing feed.
 
         Another writer put entries into the stream; an unreadable one left its predecessor in force.
@@ -129,13 +135,13 @@
         for upstream_id in ("i-1", "i-2"):
             registrations.register(upstream_id, born_ms=1_000)
         registrations.write("junk", b"\xff")
-        assert registrations.look() == ["i-1", "i-2"]
+        assert registrations.poll() == ["i-1", "i-2"]
         registrations.write("i-1", b"\xff")
-        assert registrations.look() == ["i-2"]
+        assert registrations.poll() == ["i-2"]
         registrations.register("i-1", born_ms=1_000)
-        assert sorted(registrations.look()) == ["i-1", "i-2"]
+        assert sorted(registrations.poll()) == ["i-1", "i-2"]
 
-    def test_hearsay_after_the_store_was_read(self) -> None:
+    def test_second_hand_registration_is_ignored_after_a_store_read(self) -> None:
         """Guards against requests to a deregistered upstream, without end.
 
         A starting instance had listed the upstreams but not yet read the larger configuration, and
@@ -145,27 +151,27 @@
         registrations = _Registrations()
         registrations.register("i-1", born_ms=1_000)
         registrations.register("i-2", born_ms=1_000)
-        assert registrations.look() == ["i-1", "i-2"]
+        assert registrations.poll() == ["i-1", "i-2"]
         stale = registrations.feed.raw_records()
         registrations.store.put(UPSTREAMS_STREAM, "i-1", None)
-        assert registrations.look() == ["i-2"]
-        registrations.feed.offer(stale)
-        assert registrations.look() == ["i-2"]
+        assert registrations.poll() == ["i-2"]
+        registrations.feed.apply_second_hand(stale)
+        assert registrations.poll() == ["i-2"]
 
-    def test_hearsay_of_a_state_before(self) -> None:
+    def test_stale_second_hand_state_is_neither_used_nor_passed_on(self) -> None:
         """Guards against passing on to a starting instance that a draining upstream is ready.
 
         A stale second-hand registration was not applied but retained for `raw_records`.
         """
         registrations = _Registrations()
         registrations.register("i-1", born_ms=1_000)
-        registrations.look()
+        registrations.poll()
         stale = registrations.feed.raw_records()
-        leaving = registration("llm", "10.0.0.9:80", born_ms=1_000) | {"state": "draining"}
-        registrations.write("i-1", json.dumps(leaving).encode())
-        assert registrations.look() == []
-        registrations.feed.offer(stale)
-        assert registrations.look() == []
+        draining = registration("llm", "10.0.0.9:80", born_ms=1_000) | {"state": "draining"}
+        registrations.write("i-1", json.dumps(draining).encode())
+        assert registrations.poll() == []
+        registrations.feed.apply_second_hand(stale)
+        assert registrations.poll() == []
         assert [json.loads(r.value or b"")["state"] for r in registrations.feed.raw_records()] == [
             "draining"
         ]
--- a/mothstand/tests/test_fleet.py
+++ b/mothstand/tests/test_fleet.py
@@ -10,10 +10,10 @@
 
 from ..core.claim_policy import ClaimPolicy
 from ..core.fleet import (
-    ANNOUNCE_S,
+    ANNOUNCE_INTERVAL_S,
     CLAIMANTS_PER_DATA_CENTRE,
-    GONE_AFTER_MISSED,
-    MOST_ANNOUNCEMENTS_PER_S,
+    EXPIRE_AFTER_MISSED,
+    MAX_ANNOUNCEMENTS_PER_S,
     Capacity,
     FleetView,
     Member,
@@ -21,10 +21,10 @@
 from ..core.loans import Peer
 from ..errors import ErrorKind, Refusal
 from ..gateway.borrowing import Borrower
-from ..gateway.claim_keeper import ClaimKeeper
+from ..gateway.claim_manager import ClaimManager
 from ..gateway.member_feed import MemberFeed, decode_member, encode_member
 from ..gateway.store import KeyedRecord
-from ..log.health import LogHealth
+from ..log.health import PlatformHealth
 from ..peers.failures import PeerError, PeerUnreachableError
 from ..testing.budget_fleet import BudgetFleet
 from ..testing.fakes import RETRIES, SilentPeers
@@ -43,15 +43,17 @@
     return Member(Peer(name, f"{name}-1", f"{name}:1"), DataCentre(data_centre))
 
 
-def view_of(me: str, names: list[str]) -> FleetView:
-    view = FleetView(member(me, me[0]))
+def fleet_view(local_name: str, names: list[str]) -> FleetView:
+    view = FleetView(member(local_name, local_name[0]))
     for name in names:
-        view.note(member(name, name[0]), 0.0)
-    view.read(0.0)
+        view.apply_announcement(member(name, name[0]), 0.0)
+    view.expire_members(0.0)
     return view
 
 
-def left_by_a_stop(seed: int, *, store_call_s: float, drains_s: float, duration_s: float) -> Claim:
+def claim_after_stop(
+    seed: int, *, store_call_s: float, drains_s: float, duration_s: float
+) -> Claim:
     """Return the claim of an instance that stopped while the store was slow."""
     fleet = BudgetFleet(3, 2, 3_000_000)
 
@@ -66,17 +68,17 @@
             await fleet.run(duration_s, requests_per_s=20, seed=seed)
 
     run_in_virtual_time(run)
-    table = fleet.instances["i1-0:1"].accounts.shards[0].keeper.book.table
+    table = fleet.instances["i1-0:1"].accounts.shards[0].claim_manager.claims.table
     claims = table.claims[BudgetName("seniors")]
-    (left,) = [c for holder, c in claims.items() if holder.incarnation == "i0-0-1"]
-    return left
+    (claim,) = [c for holder, c in claims.items() if holder.incarnation == "i0-0-1"]
+    return claim
 
 
 class TestFleetView:
     def test_all_instances_agree_on_the_claimants(self) -> None:
         names = [f"{data_centre}{n}" for data_centre in "abc" for n in range(8)]
         chosen = {
-            tuple(sorted(m.peer.instance for m in view_of(me, names).claimants(_SHARD)))
+            tuple(sorted(m.peer.instance for m in fleet_view(me, names).claimants(_SHARD)))
             for me in names
         }
         assert len(chosen) == 1
@@ -86,10 +88,10 @@
 
     def test_in_a_small_fleet_all_claim(self) -> None:
         names = ["a1", "a2", "b1", "b2", "c1", "c2"]
-        assert all(view_of(me, names).is_claimant(_SHARD) for me in names)
+        assert all(fleet_view(me, names).is_claimant(_SHARD) for me in names)
 
     def test_shards_have_claimants_of_their_own(self) -> None:
-        view = view_of("a0", [f"a{n}" for n in range(30)])
+        view = fleet_view("a0", [f"a{n}" for n in range(30)])
         sets = {tuple(m.peer.instance for m in view.claimants(Shard(n))) for n in range(10)}
         assert len(sets) > 5
 
@@ -107,46 +109,46 @@
         ]
         view = FleetView(fleet[0])
         for each in fleet:
-            view.note(each, 0.0)
+            view.apply_announcement(each, 0.0)
         claimants = {m.peer.instance for m in view.claimants(_SHARD)}
         assert claimants == {"a07", "a19", "a23"}
 
     def test_lenders_of_the_same_data_centre_come_first(self) -> None:
         names = [f"{data_centre}{n}" for data_centre in "abc" for n in range(8)]
-        lenders = [peer.instance for peer in view_of("b0", names).lenders(_SHARD)]
+        lenders = [peer.instance for peer in fleet_view("b0", names).lenders(_SHARD)]
         near = [name.startswith("b") for name in lenders]
         assert near == sorted(near, reverse=True)
         assert "b0" not in lenders
 
-    def test_an_instance_that_went_silent_makes_room(self) -> None:
-        view = view_of("a0", ["a0", "a1", "a2", "a3"])
+    def test_claimant_without_announcements_is_replaced(self) -> None:
+        view = fleet_view("a0", ["a0", "a1", "a2", "a3"])
         silent = next(m.peer.instance for m in view.claimants(_SHARD) if m.peer.instance != "a0")
         now_s = 0.0
-        while now_s <= (GONE_AFTER_MISSED + 1) * ANNOUNCE_S:
-            now_s += ANNOUNCE_S
+        while now_s <= (EXPIRE_AFTER_MISSED + 1) * ANNOUNCE_INTERVAL_S:
+            now_s += ANNOUNCE_INTERVAL_S
             for name in ("a0", "a1", "a2", "a3"):
                 if name != silent:
-                    view.note(member(name, "a"), now_s)
-            view.read(now_s)
+                    view.apply_announcement(member(name, "a"), now_s)
+            view.expire_members(now_s)
         assert silent not in {m.peer.instance for m in view.claimants(_SHARD)}
         assert len(view.claimants(_SHARD)) == CLAIMANTS_PER_DATA_CENTRE
 
-    def test_an_outage_of_the_store_makes_nobody_go(self) -> None:
+    def test_store_outage_expires_no_members(self) -> None:
         """Guards against requests that are refused after a store outage since no peer lends.
 
         The outage was longer than the expiry of members, and counted as missed announcements.
         """
-        view = view_of("a0", ["a0", "a1", "a2"])
-        assert view.read(GONE_AFTER_MISSED * ANNOUNCE_S + 10.0) == []
+        view = fleet_view("a0", ["a0", "a1", "a2"])
+        assert view.expire_members(EXPIRE_AFTER_MISSED * ANNOUNCE_INTERVAL_S + 10.0) == []
         assert view.size == 3
 
-    def test_announcements_of_a_large_fleet_are_no_more_a_second(self) -> None:
-        small = view_of("a0", [f"a{n}" for n in range(6)])
-        large = view_of("a0", [f"a{n}" for n in range(700)])
-        assert small.announce_s == ANNOUNCE_S
-        assert large.size / large.announce_s <= MOST_ANNOUNCEMENTS_PER_S
+    def test_announcement_rate_of_a_large_fleet_is_bounded(self) -> None:
+        small = fleet_view("a0", [f"a{n}" for n in range(6)])
+        large = fleet_view("a0", [f"a{n}" for n in range(700)])
+        assert small.announce_interval_s == ANNOUNCE_INTERVAL_S
+        assert large.size / large.announce_interval_s <= MAX_ANNOUNCEMENTS_PER_S
 
-    def test_an_announcement_is_read_as_it_was_written(self) -> None:
+    def test_announcement_is_decoded_as_it_was_encoded(self) -> None:
         large = replace(member("a0"), capacity=Capacity(2.15, 100.0))
         assert decode_member(encode_member(large)).member == large
         without = KeyedRecord(
@@ -158,7 +160,7 @@
 
 
 class TestMemberFeed:
-    def test_a_restarted_instance_knows_the_fleet_at_its_first_look(self) -> None:
+    def test_restarted_instance_knows_the_fleet_at_its_first_poll(self) -> None:
         """Guards against refused requests in the first 0.6 s after each restart.
 
         The instance replaced its previous announcement before it read the stream, and so waited
@@ -170,7 +172,13 @@
             clock = VirtualClock()
             me = Member(Peer("a0", incarnation, "a0:1"), DataCentre("a"))
             feed = MemberFeed(
-                StoreLink(store), me, clock, LogHealth(clock), lambda: None, RETRIES, started_s=0.0
+                StoreLink(store),
+                me,
+                clock,
+                PlatformHealth(clock),
+                lambda: None,
+                RETRIES,
+                started_s=0.0,
             )
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(feed.run)
@@ -190,22 +198,22 @@
     """Return a borrower and its held budget, with unused tokens of a loan."""
     clock = VirtualClock()
     me = Peer("a0", "a0-1", "a0:1")
-    keeper = ClaimKeeper(
+    manager = ClaimManager(
         _SHARD,
         me,
         StoreLink(MemoryStore()),
         clock,
-        LogHealth(clock),
+        PlatformHealth(clock),
         ClaimPolicy(),
         lambda: {BudgetName("seniors"): 1_000_000},
         lambda: 0,
         0.35,
         lambda: None,
     )
-    held = keeper.book.of(BudgetName("seniors"))
+    held = manager.claims.held_budget(BudgetName("seniors"))
     held.receive(tokens)
     lender = Peer("a1", "a1-1", "a1:1")
-    return Borrower(keeper, link, lambda: [lender], clock, lambda: None), held
+    return Borrower(manager, link, lambda: [lender], clock, lambda: None), held
 
 
 class TestBorrowers:
@@ -214,14 +222,14 @@
     Most fleets have 64 instances in four data centres.
     """
 
-    def play(
+    def run_fleet(
         self, claimants: int, prepaid_tokens: int, *, per_data_centre: int = 16
     ) -> BudgetFleet:
         fleet = BudgetFleet(4, per_data_centre, prepaid_tokens, claimants)
         run_in_virtual_time(lambda: fleet.run(10.0, requests_per_s=100))
         return fleet
 
-    def test_what_the_store_and_its_readers_do_does_not_grow_with_the_fleet(self) -> None:
+    def test_store_load_of_claims_does_not_grow_with_the_fleet(self) -> None:
         """Bounds calls to the store and records read by all instances, in 10 s with ample tokens.
 
         If all instances claim: 1,368 calls and 65,100 records. With three claimants per data
@@ -229,28 +237,35 @@
         and reads as many claims. Costs of claims must not grow with the fleet (half is allowed for
         other costs), nor what one instance reads; announcements have their own maximum.
         """
-        few = self.play(CLAIMANTS_PER_DATA_CENTRE, 36_000_000)
-        everyone = self.play(16, 36_000_000)
-        quarter = self.play(CLAIMANTS_PER_DATA_CENTRE, 36_000_000, per_data_centre=4)
-        assert few.served_share == everyone.served_share == quarter.served_share == 1.0
-        assert few.counts["store calls"] < 1_000
-        assert few.counts["records read"] < everyone.counts["records read"] / 3
-        assert few.counts["store calls"] < 1.5 * quarter.counts["store calls"]
-        assert _claims_read(few) < 1.5 * _claims_read(quarter)
-        assert few.counts["records read"] / 64 <= quarter.counts["records read"] / 16
+        few_claimants = self.run_fleet(CLAIMANTS_PER_DATA_CENTRE, 36_000_000)
+        all_claim = self.run_fleet(16, 36_000_000)
+        quarter_fleet = self.run_fleet(CLAIMANTS_PER_DATA_CENTRE, 36_000_000, per_data_centre=4)
+        assert (
+            few_claimants.served_share
+            == all_claim.served_share
+            == quarter_fleet.served_share
+            == 1.0
+        )
+        assert few_claimants.counts["store calls"] < 1_000
+        assert few_claimants.counts["records read"] < all_claim.counts["records read"] / 3
+        assert few_claimants.counts["store calls"] < 1.5 * quarter_fleet.counts["store calls"]
+        assert _claims_read(few_claimants) < 1.5 * _claims_read(quarter_fleet)
+        assert (
+            few_claimants.counts["records read"] / 64 <= quarter_fleet.counts["records read"] / 16
+        )
         # In the 10 s of requests and the 2 s in which the last of them end.
-        most_announcements = 64 * MOST_ANNOUNCEMENTS_PER_S * 12
-        assert few.counts["announcements read"] <= most_announcements
+        max_announcements = 64 * MAX_ANNOUNCEMENTS_PER_S * 12
+        assert few_claimants.counts["announcements read"] <= max_announcements
 
-    def test_a_budget_is_used_up_to_its_end(self) -> None:
+    def test_budget_is_spent_almost_completely(self) -> None:
         """Guards against refused requests while paid tokens stay unused.
 
         Near a budget's end each instance held a remainder smaller than a request.
         """
-        fleet = self.play(CLAIMANTS_PER_DATA_CENTRE, 6_000_000)
+        fleet = self.run_fleet(CLAIMANTS_PER_DATA_CENTRE, 6_000_000)
         assert 0.97 * 6_000_000 < fleet.spent_tokens <= 6_000_000
 
-    def test_claimants_lend_to_each_other_to_the_end(self) -> None:
+    def test_claimants_lend_to_each_other_until_the_budget_is_spent(self) -> None:
         """Guards against requests refused near a budget's end while other claimants hold enough.
 
         A lender that reached the store lent at most its base and wrote no new claim. Of 3,000,000
@@ -262,18 +277,18 @@
         assert fleet.spent_tokens > 0.999 * 3_000_000
         assert fleet.counts["budget_exhausted"] > fleet.counts["budget_out_of_reach"]
 
-    def test_at_a_budgets_end_only_those_are_asked_who_hold_some(self) -> None:
+    def test_near_a_budgets_end_only_peers_with_holdings_are_asked(self) -> None:
         """Guards against refusals that take 0.3 s near a budget's end and occupy all lenders.
 
         Borrowers don't know claims, and a lender without tokens did not report other holdings, so
         each request asked all claimants. Nearly all requests should ask the nearest lender and one
         peer that it reports.
         """
-        fleet = self.play(CLAIMANTS_PER_DATA_CENTRE, 3_000_000)
+        fleet = self.run_fleet(CLAIMANTS_PER_DATA_CENTRE, 3_000_000)
         assert fleet.counts["loans"] < 3 * fleet.counts["asked"]
         assert fleet.spent_tokens > 0.999 * 3_000_000
 
-    def test_borrowers_give_back_what_their_requests_left(self) -> None:
+    def test_borrowers_give_back_unused_tokens(self) -> None:
         """Guards against a last fifth of a budget that stays unused while requests are refused.
 
         Requests borrow their maximum and use less; the unused tokens stayed at many borrowers,
@@ -281,18 +296,21 @@
         """
         fleet = BudgetFleet(4, 16, 6_000_000, used_share=0.5)
         run_in_virtual_time(lambda: fleet.run(12.0, requests_per_s=100))
-        resting = sum(
-            max(0, i.accounts.shards[0].keeper.book.of(BudgetName("seniors")).available_tokens)
+        unused_tokens = sum(
+            max(
+                0,
+                i.accounts.shards[0]
+                .claim_manager.claims.held_budget(BudgetName("seniors"))
+                .available_tokens,
+            )
             for i in fleet.instances.values()
             if not i.members.fleet.is_claimant(_SHARD)
         )
-        assert resting < 0.01 * fleet.prepaid_tokens
+        assert unused_tokens < 0.01 * fleet.prepaid_tokens
         assert fleet.spent_tokens <= fleet.prepaid_tokens
 
     @pytest.mark.parametrize("error", [PeerError, PeerUnreachableError])
-    def test_a_rest_that_no_peer_confirms_is_never_spent_twice(
-        self, error: type[PeerError]
-    ) -> None:
+    def test_unconfirmed_handover_is_never_spent_twice(self, error: type[PeerError]) -> None:
         """Guards against overspending after a handover without an answer.
 
         The lender may have added and spent the tokens and restarted without knowledge of loan ids,
@@ -308,22 +326,22 @@
         async def run() -> int:
             borrower, held = borrower_with(Silent(), tokens=700)
             for _ in range(3):
-                await borrower.give_back_rests()
+                await borrower.give_back_unused()
             return held.available_tokens
 
-        kept_tokens = run_in_virtual_time(run)
+        remaining_tokens = run_in_virtual_time(run)
         assert [call.tokens for call in calls] == [700]
-        assert kept_tokens == (700 if error is PeerUnreachableError else 0)
+        assert remaining_tokens == (700 if error is PeerUnreachableError else 0)
 
-    def test_what_borrowers_spent_is_written_by_lenders_and_never_twice(self) -> None:
+    def test_lenders_record_borrowers_spend_at_most_once(self) -> None:
         """Guards against a permanent refusal (402) of a request that its budget covers.
 
         A borrower reported the same spend to two lenders, or again after a lost answer.
         """
-        fleet = self.play(CLAIMANTS_PER_DATA_CENTRE, 36_000_000)
+        fleet = self.run_fleet(CLAIMANTS_PER_DATA_CENTRE, 36_000_000)
         assert 0.8 * fleet.spent_tokens < fleet.recorded_spent_tokens <= fleet.spent_tokens
 
-    def test_a_request_that_comes_after_the_stop_of_the_claims_is_refused(self) -> None:
+    def test_request_after_the_claim_tasks_ended_is_refused(self) -> None:
         """Guards against an answer 500 of the HTTP library without a log line, at a stop.
 
         A request on a persistent connection needed a loan, whose round was started in a task group
@@ -343,23 +361,23 @@
         assert refusal.kind is ErrorKind.STOPPING
 
     @pytest.mark.parametrize("seed", [1, 2, 3])
-    def test_a_stop_with_a_slow_store_gives_its_claims_back(self, seed: int) -> None:
+    def test_stop_with_a_slow_store_gives_claims_back(self, seed: int) -> None:
         """Guards against a tenth of a budget that stays claimed after a rolling restart.
 
         Claims were given back only in the last 0.7 s of a stop of 8 s. That was too short for a
         read and a conditional append with a store that takes 0.32 s per call and other writers.
         """
-        left = left_by_a_stop(seed, store_call_s=0.32, drains_s=3.8, duration_s=14.0)
-        assert left.claimed_tokens <= left.spent_tokens
+        claim = claim_after_stop(seed, store_call_s=0.32, drains_s=3.8, duration_s=14.0)
+        assert claim.claimed_tokens <= claim.spent_tokens
 
     @pytest.mark.parametrize("seed", [1, 2, 3])
-    def test_a_stop_uses_all_of_its_time_to_give_claims_back(self, seed: int) -> None:
+    def test_stop_uses_all_its_time_to_give_claims_back(self, seed: int) -> None:
         # Guards against claims that stay with a stopped instance since the store was slow briefly.
-        left = left_by_a_stop(seed, store_call_s=0.6, drains_s=0.0, duration_s=16.0)
-        assert left.claimed_tokens <= left.spent_tokens
+        claim = claim_after_stop(seed, store_call_s=0.6, drains_s=0.0, duration_s=16.0)
+        assert claim.claimed_tokens <= claim.spent_tokens
 
     @pytest.mark.parametrize("claimants", [CLAIMANTS_PER_DATA_CENTRE, 1])
-    def test_a_budget_in_doubt_is_not_called_used_up(self, claimants: int) -> None:
+    def test_uncertain_tokens_do_not_make_a_budget_exhausted(self, claimants: int) -> None:
         """Guards against permanent refusals (402) for tokens that may not have been consumed.
 
         Callers of slow engines disconnected before the first event, and their uncertain tokens
@@ -375,7 +393,7 @@
         assert fleet.recorded_spent_tokens <= fleet.sure_tokens
         assert fleet.spent_tokens <= prepaid_tokens
 
-    def test_an_outage_of_the_store_is_served_from_what_claimants_hold(self) -> None:
+    def test_store_outage_is_served_from_claimants_tokens(self) -> None:
         """Guards against refusals when all instances are cut off from the store for 8 s.
 
         Held tokens were spread over all instances, so that none held enough for one request.
@@ -384,13 +402,13 @@
 
         async def run() -> None:
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(_cut, fleet, 9.0, 8.0)
+                tasks.start_soon(_cut_off_from_store, fleet, 9.0, 8.0)
                 await fleet.run(14.0, requests_per_s=100)
 
         run_in_virtual_time(run)
         assert fleet.served_share > 0.99
 
-    def test_the_death_of_two_claimants_of_a_data_centre_refuses_few(self) -> None:
+    def test_death_of_two_claimants_of_a_data_centre_refuses_few_requests(self) -> None:
         """Guards against refusal of all requests after two of three claimants have died.
 
         Each request would first wait for the dead claimants, or no other peer would lend.
@@ -417,7 +435,7 @@
     return fleet.counts["records read"] - fleet.counts["announcements read"]
 
 
-async def _cut(fleet: BudgetFleet, after_s: float, for_s: float) -> None:
+async def _cut_off_from_store(fleet: BudgetFleet, after_s: float, for_s: float) -> None:
     await anyio.sleep(after_s)
     fleet.cut_off_from_store(True)
     await anyio.sleep(for_s)
