--- a/mothstand/tests/test_forward.py
+++ b/mothstand/tests/test_forward.py
@@ -9,18 +9,18 @@
 import pytest
 
 from ..clock import SystemClock
-from ..core.claims import UNUSED, Usage
+from ..core.claims import NO_USAGE, Usage
 from ..core.placement import Placement
 from ..core.prompt import Prompt, PromptPart
-from ..core.quarantine import MOST_ENDS, UpstreamEnd
+from ..core.quarantine import CRASH_THRESHOLD, UpstreamCrash
 from ..core.retry_budget import RetryBudgetSettings
 from ..core.routes import Destination, RequestKind, Route
-from ..core.stall_watch import StallWatch
+from ..core.stall_detector import StallDetector
 from ..core.upstreams import RegisteredUpstream, UpstreamDirectory, UpstreamKey
 from ..errors import ErrorKind, RefusedError
 from ..gateway.call import Call, CallerConnection
+from ..gateway.crash_detector import CrashDetector, TcpLivenessCheck
 from ..gateway.crash_guard import CrashGuard
-from ..gateway.end_watch import EndWatch, TcpLivenessCheck
 from ..gateway.forward import Forwarder
 from ..gateway.headers import CallerFields, RawHeaders, UpstreamFields
 from ..gateway.metrics import GatewayMetrics
@@ -36,7 +36,7 @@
     UpstreamAnswer,
     UpstreamClient,
 )
-from ..log.health import LogHealth
+from ..log.health import PlatformHealth
 from ..platform.headers import PlatformHeaders
 from ..testing.fakes import SilentPeers
 from ..testing.memory_store import MemoryStore, StoreLink
@@ -45,7 +45,7 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-_HERE = DataCentre("sto-a")
+_LOCAL_DATA_CENTRE = DataCentre("sto-a")
 
 
 def event(number: int) -> bytes:
@@ -69,7 +69,7 @@
         self.reason = ""
         self.headers = (("X-Server-Signature", f"s{status}"),)
         self.fields = UpstreamFields("r", False, False, False)
-        self.closed = False
+        self.is_closed = False
         self._pieces = list(pieces)
 
     async def read_piece(self) -> bytes:
@@ -81,20 +81,20 @@
         return piece
 
     def close(self) -> None:
-        self.closed = True
+        self.is_closed = True
 
 
 class FakeClient(UpstreamClient):
     """Answers from a script for each attempt, whatever the upstream."""
 
     def __init__(self, script: list[FakeAnswer | Exception | None]) -> None:
-        self.sent: list[dict[str, str]] = []
+        self.sent_headers: list[dict[str, str]] = []
         self._script = script
 
     async def send(
         self, upstream: RegisteredUpstream, request: OutgoingRequest, headers: RawHeaders
     ) -> UpstreamAnswer:
-        self.sent.append(dict(headers))
+        self.sent_headers.append(dict(headers))
         step = self._script.pop(0)
         if step is None:
             await anyio.sleep_forever()
@@ -110,11 +110,11 @@
         self.status = 0
         self.body = b""
         self.heads: list[RawHeaders] = []
-        self.finished = False
-        self.aborted = False
+        self.is_finished = False
+        self.is_aborted = False
 
     async def start(self, status: int, reason: str, headers: RawHeaders) -> None:
-        self.started = True
+        self.is_started = True
         self.status = status
         self.heads.append(headers)
 
@@ -122,50 +122,54 @@
         self.body += data
 
     async def finish(self) -> None:
-        self.finished = True
+        self.is_finished = True
 
     def abort(self) -> None:
-        self.aborted = True
+        self.is_aborted = True
 
-    async def send_whole(self, status: int, reason: str, headers: RawHeaders, body: bytes) -> None:
+    async def send_complete(
+        self, status: int, reason: str, headers: RawHeaders, body: bytes
+    ) -> None:
         await self.start(status, reason, headers)
         await self.write(body)
         await self.finish()
 
 
-class World:
+class ForwarderHarness:
     """A forwarder before three engines."""
 
     def __init__(self, *script: FakeAnswer | Exception | None, burst: float = 60) -> None:
         self.client = FakeClient(list(script))
         self.directory = UpstreamDirectory()
         for number in range(3):
-            self.directory.put(
-                RegisteredUpstream(f"i-{number}", "llm", f"e{number}:1", _HERE, 8, False)
+            self.directory.apply(
+                RegisteredUpstream(
+                    f"i-{number}", "llm", f"e{number}:1", _LOCAL_DATA_CENTRE, 8, False
+                )
             )
         self.clock = SystemClock()
         self.caller = FakeCaller()
         feed = QuarantineFeed(
             StoreLink(MemoryStore()),
             self.clock,
-            LogHealth(self.clock),
+            PlatformHealth(self.clock),
             "me",
             SilentPeers(),
             lambda: [],
             lambda: 1,
         )
         self.quarantine = feed.quarantine
-        self.watch = EndWatch(TcpLivenessCheck(0.2), self.clock, feed.report)
-        self.guard = CrashGuard(feed, self.watch, self.clock)
+        self.crash_detector = CrashDetector(TcpLivenessCheck(0.2), self.clock, feed.report)
+        self.guard = CrashGuard(feed, self.crash_detector, self.clock)
         self.metrics = GatewayMetrics(counts=defaultdict(int))  # type: ignore[arg-type]
         self.forwarder = Forwarder(
             self.client,
             PlatformHeaders(),
-            Placement(_HERE),
+            Placement(_LOCAL_DATA_CENTRE),
             self.directory,
             RetryBudgetSettings(0.2, burst, 10.0, 1.0),
             lambda: 6,
-            StallWatch(),
+            StallDetector(),
             self.guard,
             self.clock,
             self.metrics,
@@ -202,58 +206,58 @@
         return anyio.run(main)
 
 
-class TestPlain:
-    def test_an_answer_is_passed_on_unchanged(self) -> None:
-        world = World(FakeAnswer(404, [b"no ", b"such"]))
+class TestPlainAnswers:
+    def test_answer_is_passed_on_unchanged(self) -> None:
+        world = ForwarderHarness(FakeAnswer(404, [b"no ", b"such"]))
         assert world.run(world.call(RequestKind.NON_IDEMPOTENT)) is None
         assert (world.caller.status, world.caller.body) == (404, b"no such")
 
-    def test_what_may_have_run_is_not_sent_again(self) -> None:
+    def test_non_idempotent_request_that_may_have_run_is_not_retried(self) -> None:
         """Symptom: a pass is issued twice.
 
         Sequence: the upstream runs the request, its answer is lost.
         Cause: a broken connection was taken for a request that did not arrive.
         """
-        world = World(MayHaveRunError("reset"), FakeAnswer(200, [b"second"]))
+        world = ForwarderHarness(MayHaveRunError("reset"), FakeAnswer(200, [b"second"]))
         call = world.call(RequestKind.NON_IDEMPOTENT)
         assert world.run(call) is ErrorKind.OUTCOME_UNKNOWN
-        assert len(world.client.sent) == 1
-        assert call.usage(4, is_answered=world.caller.started) == Usage(100, 0)
+        assert len(world.client.sent_headers) == 1
+        assert call.usage(4, is_answered=world.caller.is_started) == Usage(100, 0)
 
-    def test_what_surely_did_not_run_is_sent_elsewhere(self) -> None:
-        world = World(NotRunError("no connection"), FakeAnswer(200, [b"ok"]))
+    def test_request_that_did_not_run_is_sent_to_another_upstream(self) -> None:
+        world = ForwarderHarness(NotRunError("no connection"), FakeAnswer(200, [b"ok"]))
         assert world.run(world.call(RequestKind.NON_IDEMPOTENT)) is None
-        sent = [headers["X-Expected-Instance"] for headers in world.client.sent]
+        sent = [headers["X-Expected-Instance"] for headers in world.client.sent_headers]
         assert len(set(sent)) == 2
 
-    def test_an_idempotent_request_is_sent_again_after_a_loss(self) -> None:
-        world = World(MayHaveRunError("reset"), FakeAnswer(200, [b"ok"]))
+    def test_idempotent_request_is_retried_after_lost_answer(self) -> None:
+        world = ForwarderHarness(MayHaveRunError("reset"), FakeAnswer(200, [b"ok"]))
         assert world.run(world.call(RequestKind.IDEMPOTENT)) is None
         assert world.caller.body == b"ok"
 
-    def test_a_failure_is_passed_on_when_the_second_try_fails_too(self) -> None:
-        world = World(FakeAnswer(500, [b"one"]), FakeAnswer(500, [b"two"]))
+    def test_server_error_is_passed_on_after_last_attempt(self) -> None:
+        world = ForwarderHarness(FakeAnswer(500, [b"one"]), FakeAnswer(500, [b"two"]))
         assert world.run(world.call(RequestKind.IDEMPOTENT)) is None
         assert (world.caller.status, world.caller.body) == (500, b"two")
 
-    def test_an_upstream_that_hangs_is_left_where_that_is_allowed(self) -> None:
-        world = World(None, FakeAnswer(200, [b"ok"]))
+    def test_idempotent_request_is_retried_when_upstream_hangs(self) -> None:
+        world = ForwarderHarness(None, FakeAnswer(200, [b"ok"]))
         assert world.run(world.call(RequestKind.IDEMPOTENT)) is None
         assert world.caller.body == b"ok"
 
-    def test_an_upstream_that_is_slow_is_not_left_for_nowhere(self) -> None:
+    def test_request_stays_at_slow_upstream_without_retry_budget(self) -> None:
         """Symptom: in a burst requests fail with an unknown outcome while engines are working.
 
         Sequence: all engines are slow, the retries are used up; a request waits for longer than
         another upstream would take. Cause: it was taken from its upstream's queue first, and only
         then was asked whether it may be sent to another one.
         """
-        world = World(FakeAnswer(200, [b"ok"], after_s=0.5), burst=0)
+        world = ForwarderHarness(FakeAnswer(200, [b"ok"], after_s=0.5), burst=0)
         assert world.run(world.call(RequestKind.IDEMPOTENT)) is None
         assert world.caller.body == b"ok"
-        assert len(world.client.sent) == 1
+        assert len(world.client.sent_headers) == 1
 
-    def test_one_retry_is_not_promised_to_two(self) -> None:
+    def test_one_retry_is_granted_to_only_one_request(self) -> None:
         """Symptom: in a burst some requests still fail with an unknown outcome.
 
         Sequence: two requests wait at slow upstreams, one retry is left; both leave for it.
@@ -261,7 +265,7 @@
         been left.
         """
         answers = [FakeAnswer(200, [b"ok"], after_s=0.5) for _ in range(3)]
-        world = World(*answers, burst=6)
+        world = ForwarderHarness(*answers, burst=6)
         calls = [world.call(RequestKind.IDEMPOTENT) for _ in range(2)]
         callers = [FakeCaller() for _ in calls]
 
@@ -272,21 +276,21 @@
 
         anyio.run(main)
         assert [caller.body for caller in callers] == [b"ok", b"ok"]
-        assert len(world.client.sent) == 3
+        assert len(world.client.sent_headers) == 3
 
-    def test_the_last_upstream_that_is_slow_is_not_left(self) -> None:
-        world = World(FakeAnswer(200, [b"ok"], after_s=0.5))
+    def test_request_stays_at_slow_upstream_when_it_is_the_only_one(self) -> None:
+        world = ForwarderHarness(FakeAnswer(200, [b"ok"], after_s=0.5))
         for upstream_id in ("i-1", "i-2"):
-            del world.directory.known[upstream_id]
+            del world.directory.upstreams[upstream_id]
         assert world.run(world.call(RequestKind.IDEMPOTENT)) is None
         assert world.caller.body == b"ok"
 
-    def test_timeout_says_that_it_may_have_run(self) -> None:
-        world = World(None)
+    def test_timeout_after_sending_is_refused_as_timed_out(self) -> None:
+        world = ForwarderHarness(None)
         call = world.call(RequestKind.NON_IDEMPOTENT, timeout_s=0.1)
         assert world.run(call) is ErrorKind.TIMED_OUT
 
-    def test_an_upstream_can_say_in_time_that_a_request_did_not_run(self) -> None:
+    def test_upstream_deadline_leaves_time_to_report_that_request_did_not_run(self) -> None:
         """Symptom: requests that never ran are answered 504, and their prompts stay in doubt.
 
         Sequence: a request waits in an upstream's queue to its deadline; the upstream then says
@@ -303,20 +307,20 @@
                 await anyio.sleep(0.005)
                 raise RefusedByUpstreamError("the deadline passed in the queue")
 
-        world = World()
+        world = ForwarderHarness()
         world.forwarder._client = Queue([])
         call = world.call(RequestKind.NON_IDEMPOTENT, timeout_s=timeout_s)
         assert world.run(call) is ErrorKind.OVERLOADED
-        assert call.usage(4, is_answered=world.caller.started) == UNUSED
+        assert call.usage(4, is_answered=world.caller.is_started) == NO_USAGE
 
-    def test_refusals_by_all_upstreams_are_no_run(self) -> None:
+    def test_request_refused_by_all_upstreams_uses_no_tokens(self) -> None:
         refusals = [RefusedByUpstreamError("full") for _ in range(3)]
-        world = World(*refusals)
+        world = ForwarderHarness(*refusals)
         call = world.call(RequestKind.NON_IDEMPOTENT)
         assert world.run(call) is ErrorKind.OVERLOADED
-        assert call.usage(4, is_answered=world.caller.started) == UNUSED
+        assert call.usage(4, is_answered=world.caller.is_started) == NO_USAGE
 
-    def test_upstreams_that_cannot_be_reached_cost_no_retries(self) -> None:
+    def test_unreachable_upstreams_use_no_retry_budget(self) -> None:
         """Symptom: in a cut requests fail at once though one upstream can be reached.
 
         Sequence: two of three upstreams are behind a cut; the first requests find them so, and
@@ -324,94 +328,94 @@
         Cause: tries that arrived nowhere were counted as retries.
         """
         unreachable = (NotConnectedError("x"), NotConnectedError("x"))
-        world = World(*unreachable, FakeAnswer(200, [b"ok"]), burst=0)
+        world = ForwarderHarness(*unreachable, FakeAnswer(200, [b"ok"]), burst=0)
         assert world.run(world.call(RequestKind.NON_IDEMPOTENT)) is None
         assert world.caller.body == b"ok"
 
-    def test_the_retry_budget_ends_the_tries(self) -> None:
-        world = World(RefusedByUpstreamError("full"), FakeAnswer(200, [b"ok"]), burst=0)
+    def test_exhausted_retry_budget_ends_attempts(self) -> None:
+        world = ForwarderHarness(RefusedByUpstreamError("full"), FakeAnswer(200, [b"ok"]), burst=0)
         assert world.run(world.call(RequestKind.IDEMPOTENT)) is ErrorKind.OVERLOADED
 
-    def test_requests_that_are_refused_here_pay_for_retries(self) -> None:
+    def test_requests_refused_by_the_gateway_add_to_retry_budget(self) -> None:
         # Guards against an instance out of reach of tokens that also has no retries.
-        world = World(RefusedByUpstreamError("full"), FakeAnswer(200, [b"ok"]), burst=0)
+        world = ForwarderHarness(RefusedByUpstreamError("full"), FakeAnswer(200, [b"ok"]), burst=0)
         for _ in range(10):
             world.forwarder.admit(world.call(RequestKind.IDEMPOTENT))
         assert world.run(world.call(RequestKind.IDEMPOTENT)) is None
 
-    def test_a_misdirected_request_ends_the_upstreams_id(self) -> None:
+    def test_misdirected_request_removes_upstream_from_directory(self) -> None:
         """Symptom: each request first goes to an engine that has long been replaced.
 
         Sequence: an engine restarts while the store is away; its old id is refused each time.
         Cause: the refusal taught nobody.
         """
-        world = World(MisdirectedError("another"), FakeAnswer(200, [b"ok"]))
+        world = ForwarderHarness(MisdirectedError("another"), FakeAnswer(200, [b"ok"]))
         assert world.run(world.call(RequestKind.NON_IDEMPOTENT)) is None
-        assert len(world.directory.known) == 2
+        assert len(world.directory.upstreams) == 2
 
-    def test_without_upstreams_it_is_refused_at_once(self) -> None:
-        world = World()
-        world.directory.known.clear()
+    def test_request_is_refused_without_upstreams(self) -> None:
+        world = ForwarderHarness()
+        world.directory.upstreams.clear()
         assert world.run(world.call(RequestKind.IDEMPOTENT)) is ErrorKind.NO_UPSTREAM
 
 
 class TestStreams:
     def test_events_and_their_tokens_are_counted(self) -> None:
-        world = World(FakeAnswer(200, [event(1) + event(2), event(3)]))
+        world = ForwarderHarness(FakeAnswer(200, [event(1) + event(2), event(3)]))
         call = world.call(RequestKind.STREAMING)
         assert world.run(call) is None
-        assert world.caller.finished
-        assert call.usage(4, is_answered=world.caller.started) == Usage(112, 112)
+        assert world.caller.is_finished
+        assert call.usage(4, is_answered=world.caller.is_started) == Usage(112, 112)
 
-    def test_a_broken_stream_does_not_look_whole(self) -> None:
+    def test_broken_stream_is_aborted(self) -> None:
         """Symptom: half a summary passes for a whole one.
 
         Sequence: an engine crashes in mid-stream.
         Cause: the caller's connection was ended as if the answer were complete.
         """
-        world = World(FakeAnswer(200, [event(1), MayHaveRunError("reset")]))
+        world = ForwarderHarness(FakeAnswer(200, [event(1), MayHaveRunError("reset")]))
         assert world.run(world.call(RequestKind.STREAMING)) is None
-        assert world.caller.aborted
-        assert not world.caller.finished
+        assert world.caller.is_aborted
+        assert not world.caller.is_finished
 
-    def test_a_stream_that_ends_inside_an_event_does_not_look_whole(self) -> None:
-        world = World(FakeAnswer(200, [event(1) + b"id: 2\nda"]))
+    def test_stream_that_ends_inside_an_event_is_aborted(self) -> None:
+        world = ForwarderHarness(FakeAnswer(200, [event(1) + b"id: 2\nda"]))
         assert world.run(world.call(RequestKind.STREAMING)) is None
-        assert world.caller.aborted
+        assert world.caller.is_aborted
         assert world.caller.body == event(1)
 
-    def test_another_engine_goes_on_where_that_is_allowed(self) -> None:
+    def test_resumable_stream_continues_on_another_engine(self) -> None:
         broken = FakeAnswer(200, [event(1), event(2)[:5], MayHaveRunError("reset")])
-        world = World(broken, FakeAnswer(200, [event(2), event(3)]))
+        world = ForwarderHarness(broken, FakeAnswer(200, [event(2), event(3)]))
         call = world.call(RequestKind.STREAMING, resumable=True)
         assert world.run(call) is None
         assert world.caller.body == event(1) + event(2) + event(3)
-        assert world.client.sent[1]["Last-Event-Id"] == "1"
+        assert world.client.sent_headers[1]["Last-Event-Id"] == "1"
         assert len(world.caller.heads) == 1
-        assert broken.closed
-        assert call.usage(4, is_answered=world.caller.started) == Usage(112, 112)
+        assert broken.is_closed
+        assert call.usage(4, is_answered=world.caller.is_started) == Usage(112, 112)
 
-    def test_an_engine_that_will_not_go_on_breaks_the_stream(self) -> None:
+    def test_stream_is_aborted_when_engine_refuses_to_resume(self) -> None:
         broken = FakeAnswer(200, [event(1), MayHaveRunError("reset")])
-        world = World(broken, FakeAnswer(500, [b"no"]))
+        world = ForwarderHarness(broken, FakeAnswer(500, [b"no"]))
         assert world.run(world.call(RequestKind.STREAMING, resumable=True)) is None
-        assert world.caller.aborted
+        assert world.caller.is_aborted
         assert world.caller.body == event(1)
 
-    def test_before_the_first_event_nothing_is_promised(self) -> None:
-        world = World(FakeAnswer(200, [MayHaveRunError("reset")]))
+    def test_no_head_is_sent_before_the_first_event(self) -> None:
+        world = ForwarderHarness(FakeAnswer(200, [MayHaveRunError("reset")]))
         assert world.run(world.call(RequestKind.STREAMING)) is ErrorKind.OUTCOME_UNKNOWN
-        assert not world.caller.started
+        assert not world.caller.is_started
 
 
 @pytest.mark.parametrize("kind", list(RequestKind))
-def test_a_caller_that_leaves_ends_the_upstreams_work(kind: RequestKind) -> None:
+def test_caller_disconnect_cancels_upstream_request(kind: RequestKind) -> None:
     """Symptom: engines work for callers who have gone.
 
     Sequence: a caller closes its connection while the request waits at an upstream.
     Cause: the cancelled attempt kept its connection, and its tokens stayed reserved.
     """
-    world = World(None)
+    world = ForwarderHarness(None)
     call = world.call(kind)
 
     async def main() -> None:
@@ -419,36 +423,36 @@
             await world.forwarder.run(call, world.caller)
 
     anyio.run(main)
-    assert not world.caller.started
-    assert call.usage(4, is_answered=world.caller.started) == Usage(100, 0)
+    assert not world.caller.is_started
+    assert call.usage(4, is_answered=world.caller.is_started) == Usage(100, 0)
 
 
-class TestUpstreamsThatEnd:
-    def attempt_that_breaks(self, world: World, number: int, *, known_ends: int) -> None:
+class TestUpstreamCrashes:
+    def add_known_crash(self, world: ForwarderHarness, number: int, *, known_crashes: int) -> None:
         """Let the end of an upstream under the same request be known."""
         digest = world.call(RequestKind.IDEMPOTENT).digest
         key = UpstreamKey(f"gone-{number}", 1)
-        world.quarantine.add_end(
-            UpstreamEnd(digest, key, "r0", "other", known_ends), world.clock.monotonic_s()
+        world.quarantine.add_crash(
+            UpstreamCrash(digest, key, "r0", "other", known_crashes), world.clock.monotonic_s()
         )
 
-    def test_a_break_after_a_known_end_is_not_sent_to_a_second_upstream(self) -> None:
+    def test_broken_request_with_known_crash_is_not_retried(self) -> None:
         # Guards against a request that ends two upstreams with each attempt of its caller.
-        world = World(ConnectionBrokenError("reset"), FakeAnswer(200, [b"ok"]))
-        self.attempt_that_breaks(world, 0, known_ends=0)
+        world = ForwarderHarness(ConnectionBrokenError("reset"), FakeAnswer(200, [b"ok"]))
+        self.add_known_crash(world, 0, known_crashes=0)
         assert world.run(world.call(RequestKind.IDEMPOTENT)) is ErrorKind.OUTCOME_UNKNOWN
-        assert len(world.client.sent) == 1
+        assert len(world.client.sent_headers) == 1
 
-    def test_a_first_break_is_sent_elsewhere(self) -> None:
-        world = World(ConnectionBrokenError("reset"), FakeAnswer(200, [b"ok"]))
+    def test_broken_request_without_known_crash_is_retried(self) -> None:
+        world = ForwarderHarness(ConnectionBrokenError("reset"), FakeAnswer(200, [b"ok"]))
         assert world.run(world.call(RequestKind.IDEMPOTENT)) is None
 
-    def test_a_quarantined_request_is_sent_nowhere(self) -> None:
-        world = World(FakeAnswer(200, [b"ok"]))
-        for number in range(MOST_ENDS):
-            self.attempt_that_breaks(world, number, known_ends=number)
+    def test_quarantined_request_is_refused_without_sending(self) -> None:
+        world = ForwarderHarness(FakeAnswer(200, [b"ok"]))
+        for number in range(CRASH_THRESHOLD):
+            self.add_known_crash(world, number, known_crashes=number)
         assert world.run(world.call(RequestKind.IDEMPOTENT)) is ErrorKind.QUARANTINED
-        assert world.client.sent == []
+        assert world.client.sent_headers == []
 
     @pytest.mark.parametrize(
         ("answer", "is_cleared"),
@@ -460,9 +464,11 @@
         ],
         ids=["whole", "failed", "unknown", "ends with its connection"],
     )
-    def test_only_a_whole_success_clears(self, answer: FakeAnswer, is_cleared: bool) -> None:
+    def test_only_complete_success_clears_quarantine(
+        self, answer: FakeAnswer, is_cleared: bool
+    ) -> None:
         # Guards against a failure, or an upstream's end that looks like one, that clears.
-        world = World(answer)
-        self.attempt_that_breaks(world, 0, known_ends=0)
+        world = ForwarderHarness(answer)
+        self.add_known_crash(world, 0, known_crashes=0)
         world.run(world.call(RequestKind.NON_IDEMPOTENT))
         assert world.quarantine.is_empty is is_cleared
--- a/mothstand/tests/test_gateway.py
+++ b/mothstand/tests/test_gateway.py
@@ -10,7 +10,7 @@
 import httpx
 import pytest
 
-from ..core.fleet import ANNOUNCE_S
+from ..core.fleet import ANNOUNCE_INTERVAL_S
 from ..core.renewals import UNLOCK_S
 from ..testing.fleet import wait_until
 from ..testing.gateway_fleet import GatewayFleet
@@ -39,7 +39,7 @@
 
 
 class TestPath:
-    def test_a_stream_is_served_from_end_to_end(self, fleet: GatewayFleet) -> None:
+    def test_stream_is_served_end_to_end(self, fleet: GatewayFleet) -> None:
         engine = fleet.start_engine("e-1")
         instance = fleet.start_instance("a")
         answer = fleet.ask(instance, "r-1")
@@ -51,7 +51,7 @@
         assert ran[0]["x-tenant"] == "seniors"
         assert "x-api-key" not in ran[0]
 
-    def test_refusals_before_any_upstream(self, fleet: GatewayFleet) -> None:
+    def test_bad_requests_are_refused_before_any_upstream(self, fleet: GatewayFleet) -> None:
         engine = fleet.start_engine("e-1")
         instance = fleet.start_instance("a")
         assert fleet.ask(instance, "r-1", key="wrong").status_code == 401
@@ -60,7 +60,7 @@
         assert fleet.ask(instance, "r-4", tokens="100000,1").status_code == 402
         assert fleet.journal(engine) == []
 
-    def test_a_stop_lets_running_streams_finish(self, fleet: GatewayFleet) -> None:
+    def test_stop_lets_running_requests_finish(self, fleet: GatewayFleet) -> None:
         """Symptom: a planned stop cuts answers.
 
         Sequence: an instance gets SIGTERM while requests run, and more come.
@@ -81,7 +81,7 @@
         assert answers == [200] * 10
         assert exit_code == 0
 
-    def test_a_caller_that_leaves_in_mid_stream_is_one_line(self, fleet: GatewayFleet) -> None:
+    def test_caller_disconnect_in_mid_stream_logs_one_line(self, fleet: GatewayFleet) -> None:
         """Symptom: the log is full of tracebacks while callers leave.
 
         Sequence: callers close their connections after the first events of long streams.
@@ -97,7 +97,7 @@
         assert "Traceback" not in fleet.log(instance)
         assert "internal_error" not in fleet.log(instance)
 
-    def test_a_stop_gives_back_what_a_cut_request_held(self, fleet: GatewayFleet) -> None:
+    def test_stop_releases_claims_of_an_interrupted_request(self, fleet: GatewayFleet) -> None:
         """Symptom: after a rolling restart budgets run dry early.
 
         Sequence: SIGTERM while a stream runs that outlasts the grace; the process ends.
@@ -124,7 +124,7 @@
         log = fleet.log(fleet.processes["a"])
         assert '"still_claimed": {}' in log
 
-    def test_a_stop_without_the_store_leaves_tokens_to_a_peer(self, fleet: GatewayFleet) -> None:
+    def test_stop_during_store_outage_hands_tokens_to_a_peer(self, fleet: GatewayFleet) -> None:
         """Symptom: after stops in an outage requests are refused though a seventh is unspent.
 
         Sequence: the store is away for longer than claims stay locked, an instance is stopped.
@@ -133,7 +133,7 @@
         fleet.start_engine("e-1")
         stopped, other = fleet.start_instance("a"), fleet.start_instance("b")
         # The first one reads of the second with its next look.
-        time.sleep(ANNOUNCE_S + 0.5)
+        time.sleep(ANNOUNCE_INTERVAL_S + 0.5)
         fleet.set_store_away(True)
         time.sleep(UNLOCK_S + 1.0)
         assert stopped.terminate() == 0
@@ -148,7 +148,7 @@
 
 
 class TestBudget:
-    def test_two_instances_spend_no_more_than_was_paid(self, fleet: GatewayFleet) -> None:
+    def test_two_instances_spend_at_most_the_paid_tokens(self, fleet: GatewayFleet) -> None:
         engine = fleet.start_engine("e-1")
         first, second = fleet.start_instance("a"), fleet.start_instance("b")
         paid_requests = 12
@@ -164,7 +164,7 @@
         assert served >= paid_requests - 3
         assert set(answers) <= {200, 402, 503}
 
-    def test_an_outage_of_the_store_is_served_from_what_is_held(self, fleet: GatewayFleet) -> None:
+    def test_requests_are_served_from_claims_during_store_outage(self, fleet: GatewayFleet) -> None:
         """Symptom: an outage of the store stops all service.
 
         Sequence: callers ask; the store goes away for seconds; callers go on.
@@ -177,7 +177,7 @@
         fleet.set_store_away(True)
         assert statuses(fleet, instance, 20, "during") == [200] * 20
 
-    def test_a_killed_instance_overspends_nothing(self, fleet: GatewayFleet) -> None:
+    def test_killed_instance_causes_no_overspending(self, fleet: GatewayFleet) -> None:
         """Symptom: after a crash more is spent than was paid.
 
         Sequence: an instance that holds claims is killed, and starts again.
@@ -196,14 +196,14 @@
 
 
 class TestUpstreams:
-    def test_an_engine_that_ends_is_left_at_once(self, fleet: GatewayFleet) -> None:
+    def test_requests_avoid_a_killed_engine(self, fleet: GatewayFleet) -> None:
         first = fleet.start_engine("e-1")
         fleet.start_engine("e-2")
         instance = fleet.start_instance("a")
         first.kill()
         assert statuses(fleet, instance, 10, "r") == [200] * 10
 
-    def test_a_new_engine_is_found(self, fleet: GatewayFleet) -> None:
+    def test_new_engine_is_discovered(self, fleet: GatewayFleet) -> None:
         instance = fleet.start_instance("a")
         assert fleet.ask(instance, "r-1").status_code == 503
         fleet.start_engine("e-1")
--- a/mothstand/tests/test_histories.py
+++ b/mothstand/tests/test_histories.py
@@ -9,7 +9,7 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from ..testing.histories import Counts, History, OverspentError, Plant
+from ..testing.histories import Counts, History, InjectedFault, OverspentError
 
 _CLEAN_SEEDS = 150
 _MOST_SEEDS = 1500
@@ -21,9 +21,9 @@
     logging.set_verbosity(logging.FATAL)
 
 
-def run_one(seed: int, plant: Plant) -> Counts:
+def run_one(seed: int, plant: InjectedFault) -> Counts:
     """Run one history from its seed."""
-    per_place = 3 if plant is Plant.HOLDER_PICKS_WITNESS else 2
+    per_place = 3 if plant is InjectedFault.HOLDER_PICKS_WITNESS else 2
     history = History(random.Random(seed), plant=plant, per_place=per_place)
     history.run(_STEPS)
     return history.counts
@@ -36,7 +36,7 @@
         Sequence: any of kills, pauses, cuts, takeovers, promotions, lost answers, old batches.
         Cause it guards against: any rule of the ledger that holds only when all goes well.
         """
-        counts = [run_one(seed, Plant.NONE) for seed in range(_CLEAN_SEEDS)]
+        counts = [run_one(seed, InjectedFault.NONE) for seed in range(_CLEAN_SEEDS)]
         # The histories are worth something only if they reach the rare states.
         assert sum(c.dispatched for c in counts) > 50 * _CLEAN_SEEDS // 2
         for rare in ("promoted", "allowance", "epochs", "returned", "restarts"):
@@ -49,8 +49,10 @@
     def test_nothing_is_overspent_in_shrinkable_histories(self, rng: random.Random) -> None:
         History(rng).run(150)
 
-    @pytest.mark.parametrize("plant", [plant for plant in Plant if plant is not Plant.NONE])
-    def test_known_fault_is_found(self, plant: Plant) -> None:
+    @pytest.mark.parametrize(
+        "plant", [plant for plant in InjectedFault if plant is not InjectedFault.NONE]
+    )
+    def test_known_fault_is_found(self, plant: InjectedFault) -> None:
         """Symptom: a fault that overspends passes the checks.
 
         Sequence: the same histories, with one rule of the ledger broken on purpose.
--- a/mothstand/tests/test_ledger_fold.py
+++ b/mothstand/tests/test_ledger_fold.py
@@ -28,7 +28,7 @@
 WITNESS = Member("sto-a-2", "sto-a-2:x", "127.0.0.1:2")
 
 
-class Stream:
+class StreamWriter:
     """Numbers records and applies them."""
 
     def __init__(self) -> None:
@@ -54,13 +54,15 @@
         self,
         *,
         prior: int = 0,
-        place: DataCentre = STO_A,
+        data_centre: DataCentre = STO_A,
         holder: Member = HOLDER,
         witness: Member | None = WITNESS,
     ) -> Outcome:
         """Open an epoch."""
         record_id = self.next_id(holder.incarnation)
-        return self.apply(EpochOpened(record_id, Shard(0), place, holder, witness, Epoch(prior)))
+        return self.apply(
+            EpochOpened(record_id, Shard(0), data_centre, holder, witness, Epoch(prior))
+        )
 
     def ask(
         self, epoch: int, tokens: int, *, allowance: int = 0, promotion: int = 0, spent: int = 0
@@ -73,16 +75,16 @@
         self, epoch: int, side: Side, witnessed: int, own: int, author: Member | None = None
     ) -> Outcome:
         """Close one side of an epoch."""
-        speaker = author or (HOLDER if side is Side.HOLDER else WITNESS)
-        record_id = self.next_id(speaker.incarnation)
+        member = author or (HOLDER if side is Side.HOLDER else WITNESS)
+        record_id = self.next_id(member.incarnation)
         spends = (BudgetSpend(LUND, witnessed, own),)
         return self.apply(EpochClosed(record_id, Epoch(epoch), side, spends))
 
 
 @pytest.fixture
-def stream() -> Stream:
+def stream() -> StreamWriter:
     """Return a stream with 1,000 tokens paid and epoch 2 open, 400 granted in it."""
-    stream = Stream()
+    stream = StreamWriter()
     stream.pay(1000)
     stream.open()
     stream.ask(2, 400, allowance=20, promotion=100)
@@ -90,7 +92,7 @@
 
 
 class TestPaying:
-    def test_totals_are_cumulative(self, stream: Stream) -> None:
+    def test_lower_paid_total_is_refused(self, stream: StreamWriter) -> None:
         """Symptom: a replayed or overtaken top-up counts twice, or takes tokens away.
 
         Sequence: 1,500 and then an older 1,200 arrive.
@@ -100,7 +102,7 @@
         assert not stream.pay(1200).accepted
         assert stream.fold.paid_tokens[LUND] == 1500
 
-    def test_record_appended_twice_counts_once(self, stream: Stream) -> None:
+    def test_record_appended_twice_counts_once(self, stream: StreamWriter) -> None:
         """Symptom: a grant counts twice.
 
         Sequence: the answer to an append is lost, the writer appends the record again.
@@ -114,19 +116,19 @@
 
 
 class TestGranting:
-    def test_never_more_than_is_left(self, stream: Stream) -> None:
+    def test_grant_is_limited_to_ungranted_tokens(self, stream: StreamWriter) -> None:
         assert stream.ask(2, 5000).accepted
         assert stream.fold.ungranted_tokens(LUND) == 0
         assert stream.fold.epochs[Epoch(2)].grants[LUND].granted_tokens == 1000
 
-    def test_unmet_ask_is_known_until_the_next(self, stream: Stream) -> None:
+    def test_unfulfilled_ask_is_retained_until_next_ask(self, stream: StreamWriter) -> None:
         stream.ask(2, 700)
-        assert stream.fold.unmet[LUND] == {STO_A: 100}
+        assert stream.fold.unfulfilled_tokens[LUND] == {STO_A: 100}
         stream.pay(2000)
         stream.ask(2, 100)
-        assert LUND not in stream.fold.unmet
+        assert LUND not in stream.fold.unfulfilled_tokens
 
-    def test_superseded_epoch_gets_nothing(self, stream: Stream) -> None:
+    def test_ask_of_superseded_epoch_is_refused(self, stream: StreamWriter) -> None:
         """Symptom: a leaseholder that lost its epoch gets new escrow.
 
         Sequence: it asked before, its ask lands after its successor's epoch.
@@ -137,7 +139,7 @@
 
 
 class TestTakeover:
-    def test_one_of_two_wins(self, stream: Stream) -> None:
+    def test_second_successor_of_an_epoch_is_refused(self, stream: StreamWriter) -> None:
         """Symptom: two instances lead one shard in one data centre.
 
         Sequence: both take the leaseholder for dead and open the next epoch.
@@ -146,16 +148,16 @@
         assert stream.open(prior=2, holder=WITNESS, witness=None).accepted
         assert not stream.open(prior=2, holder=HOLDER, witness=None).accepted
 
-    def test_other_data_centre_keeps_its_epoch(self, stream: Stream) -> None:
-        assert stream.open(place=STO_B, holder=WITNESS, witness=None).accepted
-        assert stream.fold.current[STO_A] == 2
+    def test_epoch_of_other_data_centre_stays_current(self, stream: StreamWriter) -> None:
+        assert stream.open(data_centre=STO_B, holder=WITNESS, witness=None).accepted
+        assert stream.fold.current_epochs[STO_A] == 2
 
 
 class TestClosing:
-    def test_open_epoch_consumes_its_grant(self, stream: Stream) -> None:
+    def test_open_epoch_consumes_its_whole_grant(self, stream: StreamWriter) -> None:
         assert stream.fold.ungranted_tokens(LUND) == 600
 
-    def test_witness_alone_leaves_the_allowance_held(self, stream: Stream) -> None:
+    def test_allowance_is_consumed_until_holder_closes(self, stream: StreamWriter) -> None:
         """Symptom: overspend by a leaseholder that was cut off from its witness only.
 
         Sequence: the witness seals and closes, the holder goes on with its allowance.
@@ -164,7 +166,7 @@
         stream.close(2, Side.WITNESS, 150, 0)
         assert stream.fold.ungranted_tokens(LUND) == 1000 - 150 - 20
 
-    def test_holder_alone_leaves_the_promotion_share_held(self, stream: Stream) -> None:
+    def test_promotion_share_is_consumed_until_witness_closes(self, stream: StreamWriter) -> None:
         """Symptom: overspend by a witness that promoted itself while cut off from the log.
 
         Sequence: the holder opens an epoch with a new witness and closes the old one; the old
@@ -174,30 +176,30 @@
         stream.close(2, Side.HOLDER, 150, 5)
         assert stream.fold.ungranted_tokens(LUND) == 1000 - 150 - 5 - 100
 
-    def test_both_sides_hold_nothing_back(self, stream: Stream) -> None:
+    def test_epoch_closed_by_both_sides_consumes_only_spend(self, stream: StreamWriter) -> None:
         stream.close(2, Side.HOLDER, 150, 5)
         stream.close(2, Side.WITNESS, 140, 30)
         assert stream.fold.ungranted_tokens(LUND) == 1000 - 140 - 5 - 30
 
-    def test_closed_side_only_goes_down(self, stream: Stream) -> None:
+    def test_closed_side_can_only_lower_its_spend(self, stream: StreamWriter) -> None:
         stream.close(2, Side.HOLDER, 150, 5)
         stream.close(2, Side.WITNESS, 150, 0)
         stream.close(2, Side.HOLDER, 120, 5)
         stream.close(2, Side.HOLDER, 170, 5)
         assert stream.fold.ungranted_tokens(LUND) == 1000 - 120 - 5
 
-    def test_restarted_witness_is_not_heard(self, stream: Stream) -> None:
+    def test_close_by_restarted_witness_is_refused(self, stream: StreamWriter) -> None:
         """Symptom: overspend after a witness was replaced at its address.
 
         Sequence: the new process, which knows nothing, closes the epoch with nothing spent.
         Cause it guards against: taking an address for an identity.
         """
-        reborn = Member(WITNESS.name, "sto-a-2:y", WITNESS.address)
-        assert not stream.close(2, Side.WITNESS, 0, 0, author=reborn).accepted
+        restarted = Member(WITNESS.name, "sto-a-2:y", WITNESS.address)
+        assert not stream.close(2, Side.WITNESS, 0, 0, author=restarted).accepted
         assert stream.fold.ungranted_tokens(LUND) == 600
 
     def test_epoch_without_witness_is_settled_by_its_holder(self) -> None:
-        stream = Stream()
+        stream = StreamWriter()
         stream.pay(1000)
         stream.open(witness=None)
         stream.ask(2, 400)
@@ -207,18 +209,18 @@
 
 
 class TestReturning:
-    def _return(self, stream: Stream, tokens: int) -> Outcome:
+    def _return(self, stream: StreamWriter, tokens: int) -> Outcome:
         record_id = stream.next_id(HOLDER.incarnation)
         return stream.apply(EscrowReturned(record_id, Epoch(2), LUND, tokens))
 
-    def test_gives_back(self, stream: Stream) -> None:
+    def test_returned_tokens_are_ungranted(self, stream: StreamWriter) -> None:
         assert self._return(stream, 300).accepted
         assert stream.fold.ungranted_tokens(LUND) == 900
 
-    def test_more_than_held_is_refused(self, stream: Stream) -> None:
+    def test_return_above_held_tokens_is_refused(self, stream: StreamWriter) -> None:
         assert not self._return(stream, 401).accepted
 
-    def test_after_the_close_is_refused(self, stream: Stream) -> None:
+    def test_return_after_close_is_refused(self, stream: StreamWriter) -> None:
         """Symptom: tokens given back count twice.
 
         Sequence: the holder reserves a return, its witness closes the epoch with that return
@@ -232,7 +234,7 @@
 
 
 class TestSnapshots:
-    def test_loaded_state_decides_alike(self, stream: Stream) -> None:
+    def test_loaded_snapshot_decides_like_original(self, stream: StreamWriter) -> None:
         """Symptom: two instances disagree on what is free, one of them having started later.
 
         Sequence: a snapshot is taken in mid-stream, one reader goes on, another loads it.
@@ -248,10 +250,10 @@
             assert fold.apply(9, closed).accepted
             assert not fold.apply(10, closed).accepted
             assert fold.ungranted_tokens(LUND) == 1000 - 120 - 5
-            assert fold.current == stream.fold.current
+            assert fold.current_epochs == stream.fold.current_epochs
 
-    def test_old_epochs_are_kept_as_a_sum(self) -> None:
-        stream = Stream()
+    def test_old_epochs_are_retained_as_a_sum(self) -> None:
+        stream = StreamWriter()
         stream.pay(1000)
         prior = 0
         for _ in range(10):
@@ -267,13 +269,13 @@
 
 
 class TestRelease:
-    def release(self, stream: Stream, epoch: int, spent: int) -> Outcome:
+    def release(self, stream: StreamWriter, epoch: int, spent: int) -> Outcome:
         """Release an epoch as an operator."""
         declared = (SpentTokens(LUND, spent),)
         record_id = stream.next_id("ito:1")
         return stream.apply(EpochReleased(record_id, Epoch(epoch), declared, "ito", "2026"))
 
-    def test_silent_sides_share_goes_back(self, stream: Stream) -> None:
+    def test_release_replaces_spend_of_unclosed_side(self, stream: StreamWriter) -> None:
         stream.open(prior=2, holder=WITNESS, witness=None)
         stream.close(2, Side.WITNESS, 150, 0)
         assert stream.fold.ungranted_tokens(LUND) == 1000 - 150 - 20
@@ -282,14 +284,14 @@
         assert stream.fold.stranded_tokens(LUND) == 0
         assert not self.release(stream, 2, 150).accepted
 
-    def test_both_sides_silent(self, stream: Stream) -> None:
+    def test_release_without_closed_sides(self, stream: StreamWriter) -> None:
         stream.apply(EscrowReturned(stream.next_id(HOLDER.incarnation), Epoch(2), LUND, 50))
         stream.open(prior=2, holder=WITNESS, witness=None)
         assert stream.fold.ungranted_tokens(LUND) == 1000 - 350
         assert self.release(stream, 2, 200).accepted
         assert stream.fold.ungranted_tokens(LUND) == 1000 - 200
 
-    def test_open_epoch_is_not_released(self, stream: Stream) -> None:
+    def test_release_of_current_epoch_is_refused(self, stream: StreamWriter) -> None:
         """Symptom: tokens are spent twice, once by a leaseholder that is alive.
 
         Sequence: an operator releases the wrong epoch.
@@ -299,12 +301,14 @@
         assert stream.fold.ungranted_tokens(LUND) == 600
 
     @pytest.mark.parametrize("spent", [149, 401])
-    def test_less_than_known_or_more_than_granted(self, stream: Stream, spent: int) -> None:
+    def test_release_below_known_or_above_granted_spend_is_refused(
+        self, stream: StreamWriter, spent: int
+    ) -> None:
         stream.open(prior=2, holder=WITNESS, witness=None)
         stream.close(2, Side.WITNESS, 150, 0)
         assert not self.release(stream, 2, spent).accepted
 
-    def test_side_that_wakes_after_a_release(self, stream: Stream) -> None:
+    def test_close_after_release_is_refused(self, stream: StreamWriter) -> None:
         """Symptom: a budget is overspent by what a process spent without its witness.
 
         Sequence: an epoch is released, its leaseholder was only paused, wakes and closes its side.
@@ -316,7 +320,7 @@
         assert not stream.close(2, Side.HOLDER, 100, 20).accepted
         assert stream.fold.ungranted_tokens(LUND) == 1000 - 170
 
-    def test_snapshot_keeps_it(self, stream: Stream) -> None:
+    def test_snapshot_retains_release(self, stream: StreamWriter) -> None:
         stream.open(prior=2, holder=WITNESS, witness=None)
         assert self.release(stream, 2, 200).accepted
         snapshot = stream.fold.snapshot(stream.next_id("s"))
--- a/mothstand/tests/test_log_output.py
+++ b/mothstand/tests/test_log_output.py
@@ -9,12 +9,12 @@
 from datetime import UTC, datetime
 
 from ..clock import Clock
-from ..gateway.log_output import BoundedOutput, LineBudget
+from ..gateway.log_output import LineRateFilter, LineTokenBucket
 
 _RECORD = logging.LogRecord("absl", logging.INFO, "file", 1, "line", None, None)
 
 
-class _HandClock(Clock):
+class _ManualClock(Clock):
     def __init__(self) -> None:
         self.now_s = 50.0
 
@@ -36,15 +36,15 @@
 )
 
 
-class TestBoundedOutput:
-    def test_a_storm_of_events_is_cut_to_the_bound(self) -> None:
+class TestLineRateFilter:
+    def test_many_events_are_limited_to_line_rate(self) -> None:
         """Symptom: an overloaded instance gets slower still.
 
         Sequence: thousands of requests a second are refused, each with a line.
         Cause: writing took the processor time that requests need.
         """
-        clock = _HandClock()
-        output = BoundedOutput(clock)
+        clock = _ManualClock()
+        output = LineRateFilter(clock)
         written = 0
         for _ in range(10_000):
             clock.now_s += 1 / 5_000
@@ -52,15 +52,15 @@
         # Two seconds of 200 lines, and the burst.
         assert 700 <= written <= 810
 
-    def test_what_was_dropped_is_told(self) -> None:
-        clock = _HandClock()
-        budget = LineBudget(left=1.0, at_s=clock.now_s)
-        assert budget.take(clock.now_s)
-        assert not budget.take(clock.now_s)
-        assert budget.dropped == 1
-        assert budget.take(clock.now_s + 1.0)
+    def test_dropped_lines_are_counted(self) -> None:
+        clock = _ManualClock()
+        budget = LineTokenBucket(available_lines=1.0, updated_s=clock.now_s)
+        assert budget.try_acquire(clock.now_s)
+        assert not budget.try_acquire(clock.now_s)
+        assert budget.dropped_lines == 1
+        assert budget.try_acquire(clock.now_s + 1.0)
 
-    def test_a_reader_that_does_not_read_stops_nobody(self) -> None:
+    def test_full_pipe_does_not_block_the_process(self) -> None:
         """Symptom: an instance serves nothing more, and its processor is idle.
 
         Sequence: whoever reads the instance's standard output stops reading; the pipe fills up.
@@ -75,7 +75,7 @@
             os.close(write_end)
         assert done.returncode == 0
 
-    def test_what_a_library_logs_is_one_event(self) -> None:
+    def test_library_traceback_becomes_one_event(self) -> None:
         """Symptom: a log of tracebacks, of which no line names a request or can be searched for.
 
         Sequence: callers go away in mid-stream; the HTTP library logs each with its traceback.
--- a/mothstand/tests/test_operations.py
+++ b/mothstand/tests/test_operations.py
@@ -30,26 +30,26 @@
         yield fleet
 
 
-def lines(fleet: GatewayFleet, event: str, **fields: Any) -> list[dict[str, Any]]:
+def logged_events(fleet: GatewayFleet, event: str, **fields: Any) -> list[dict[str, Any]]:
     """Return the fields of an instance's lines of an event that have some values."""
     found = []
     for line in fleet.log(fleet.processes["a"]).splitlines():
         match = _LINE.search(line)
         if match is not None and match[2] == event:
-            told = json.loads(match[3])
-            if all(told.get(name) == value for name, value in fields.items()):
-                found.append(told)
+            logged = json.loads(match[3])
+            if all(logged.get(name) == value for name, value in fields.items()):
+                found.append(logged)
     return found
 
 
 def wait_for(fleet: GatewayFleet, event: str, **fields: Any) -> dict[str, Any]:
     """Return the last line of an event, once there is one."""
-    wait_until(lambda: bool(lines(fleet, event, **fields)), f"no line {event} {fields}")
-    return lines(fleet, event, **fields)[-1]
+    wait_until(lambda: bool(logged_events(fleet, event, **fields)), f"no line {event} {fields}")
+    return logged_events(fleet, event, **fields)[-1]
 
 
-class TestWalks:
-    def test_refused_at_a_budgets_end(self, fleet: GatewayFleet) -> None:
+class TestDiagnosisFromLogs:
+    def test_refusal_for_exhausted_budget(self, fleet: GatewayFleet) -> None:
         """Symptom: a caller is told that the budget does not cover its request.
 
         Sequence: the budget is nearly spent, and a request larger than the rest comes.
@@ -66,12 +66,13 @@
         assert wait_for(fleet, "config_in_force")["prepaid"] == {"seniors": 100_000}
         wait_until(
             lambda: any(
-                w["claims"]["seniors"]["spent"] == 120 for w in lines(fleet, "claims_written")
+                w["claims"]["seniors"]["spent"] == 120
+                for w in logged_events(fleet, "claims_written")
             ),
             "spend not written",
         )
 
-    def test_a_broken_stream(self, fleet: GatewayFleet) -> None:
+    def test_broken_stream(self, fleet: GatewayFleet) -> None:
         """Symptom: a caller's stream ends in its middle.
 
         Sequence: the only engine is killed while it streams.
@@ -100,7 +101,7 @@
         assert broken["reason"] == "no upstream left"
         assert wait_for(fleet, "upstreams_listed")["upstreams"] == {"e-1": engine.address}
 
-    def test_a_late_answer(self, fleet: GatewayFleet) -> None:
+    def test_late_answer(self, fleet: GatewayFleet) -> None:
         """Symptom: a caller's answer comes, late.
 
         Sequence: the engine is slow.
@@ -112,6 +113,6 @@
         answered = wait_for(fleet, "request_answered", request="r-1")
         assert answered["attempts"] == 1
         assert answered["elapsed_s"] > 1.0
-        assert not lines(fleet, "attempt_failed", request="r-1")
+        assert not logged_events(fleet, "attempt_failed", request="r-1")
         assert "first_event_us" in fleet.metrics(instance)
         assert "reserve_us" in fleet.metrics(instance)
--- a/mothstand/tests/test_orders.py
+++ b/mothstand/tests/test_orders.py
@@ -15,8 +15,8 @@
     EngineSetup,
     OrderPlanner,
     OrderTiming,
-    issuers,
-    wanted_setup,
+    desired_setup,
+    order_issuers,
 )
 from ..errors import SettingsError
 from ..settings.folder import validate_sections
@@ -43,7 +43,7 @@
     ) -> OrderPlanner:
         """Return the planner of the only live instance."""
         planner = OrderPlanner(name, HERE)
-        planner.engines(config.config, [name], config.config.weight_loads, now_s)
+        planner.engines_to_poll(config.config, [name], config.config.weight_loads, now_s)
         return planner
 
     def test_whole_setup_under_the_configuration_s_offset(self) -> None:
@@ -56,7 +56,7 @@
     def test_nothing_to_do(self) -> None:
         config = state(7, self.A)
         planner = self.planner(config)
-        done = wanted_setup(config.config, self.A)
+        done = desired_setup(config.config, self.A)
         assert planner.decide(self.A, report(done, fencing=3), config, 0.0) is None
         assert planner.decide(self.A, report(loading=True), config, 0.0) is None
 
@@ -81,7 +81,7 @@
         assert planner.decide(self.B, report(), config, 0.0) is None
         assert planner.decide(self.A, report(loading=True), config, 1.0) is None
         assert planner.decide(self.B, report(), config, 1.0) is None
-        done = wanted_setup(config.config, self.A)
+        done = desired_setup(config.config, self.A)
         assert planner.decide(self.A, report(done), config, 2.0) is None
         assert planner.decide(self.B, report(), config, 2.0) is not None
 
@@ -89,7 +89,7 @@
         unchecked = engine("a")
         config = state(7, unchecked)
         planner = self.planner(config)
-        wait_s = OrderTiming().wait_s
+        wait_s = OrderTiming().takeover_wait_s
         assert planner.decide(unchecked, report(), config, wait_s - 0.1) is None
         assert planner.decide(unchecked, report(), config, wait_s) is not None
 
@@ -123,12 +123,14 @@
         assert planner.is_contested("a")
 
     def test_issuers_are_no_more_than_may_load_at_once(self) -> None:
-        assert len(issuers(NAMES, HERE, 2)) == 2
-        assert len(issuers(NAMES, HERE, 1)) == 1
+        assert len(order_issuers(NAMES, HERE, 2)) == 2
+        assert len(order_issuers(NAMES, HERE, 1)) == 1
         engines = [engine(f"e{n}") for n in range(6)]
         config = state(1, *engines, weight_loads=2).config
         planners = [OrderPlanner(name, HERE) for name in NAMES]
-        looked = [e.name for planner in planners for e in planner.engines(config, NAMES, 2, 0.0)]
+        looked = [
+            e.name for planner in planners for e in planner.engines_to_poll(config, NAMES, 2, 0.0)
+        ]
         assert sorted(looked) == [e.name for e in engines]
 
 
@@ -145,7 +147,7 @@
         history.run(400)
         last = history.states[-1]
         for found in history.engines:
-            assert found.setup == wanted_setup(last.config, found.upstream)
+            assert found.setup == desired_setup(last.config, found.upstream)
 
 
 class TestSettings:
@@ -163,7 +165,7 @@
 
     def test_valid(self) -> None:
         config = validate_sections(self.SECTIONS)
-        setup = wanted_setup(config, config.upstreams["e"])
+        setup = desired_setup(config, config.upstreams["e"])
         assert str(setup) == "mixed: m@3 tuned@1"
 
     @pytest.mark.parametrize("serves", ["tuned", "m other"])
--- a/mothstand/tests/test_placement.py
+++ b/mothstand/tests/test_placement.py
@@ -4,16 +4,16 @@
 
 import random
 
-from ..core.placement import Placement, session_of
+from ..core.placement import Placement, session_key
 from ..core.prompt import Prompt, PromptPart
 from ..core.upstreams import RegisteredUpstream
 from ..types import DataCentre
 
-_HERE = DataCentre("sto-a")
-_ENGINES = [RegisteredUpstream(f"i-{n}", "llm", f"e{n}:1", _HERE, 48, False) for n in range(6)]
+_LOCAL = DataCentre("sto-a")
+_ENGINES = [RegisteredUpstream(f"i-{n}", "llm", f"e{n}:1", _LOCAL, 48, False) for n in range(6)]
 
 
-def prompt_of(session: int, request: int) -> Prompt:
+def make_prompt(session: int, request: int) -> Prompt:
     parts = (
         PromptPart(f"style-{session % 4}", 2_500),
         PromptPart(f"session-{session}", 3_800),
@@ -26,67 +26,67 @@
     placement: Placement, prompt: Prompt, now_s: float, **kwargs: object
 ) -> RegisteredUpstream:
     tried = frozenset(kwargs.get("tried", ()))  # type: ignore[call-overload]
-    chosen = placement.choose(_ENGINES, prompt, session_of(prompt, "r"), tried=tried, now_s=now_s)
+    chosen = placement.choose(_ENGINES, prompt, session_key(prompt, "r"), tried=tried, now_s=now_s)
     assert chosen is not None
     return chosen
 
 
 class TestPlacement:
     def test_all_instances_send_a_session_to_the_same_engine(self) -> None:
-        first, second = Placement(_HERE), Placement(_HERE)
+        first, second = Placement(_LOCAL), Placement(_LOCAL)
         for session in range(50):
-            prompt = prompt_of(session, 0)
+            prompt = make_prompt(session, 0)
             assert choose(first, prompt, 0.0) == choose(second, prompt, 0.0)
 
     def test_sessions_spread_over_the_engines(self) -> None:
-        placement = Placement(_HERE)
-        chosen = [choose(placement, prompt_of(session, 0), 0.0) for session in range(600)]
+        placement = Placement(_LOCAL)
+        chosen = [choose(placement, make_prompt(session, 0), 0.0) for session in range(600)]
         counts = [chosen.count(engine) for engine in _ENGINES]
         assert min(counts) > 50
 
-    def test_a_queue_that_costs_more_than_reading_again_is_avoided(self) -> None:
-        placement = Placement(_HERE)
-        home = choose(placement, prompt_of(1, 0), 0.0)
+    def test_queue_costlier_than_rereading_the_prompt_is_avoided(self) -> None:
+        placement = Placement(_LOCAL)
+        home = choose(placement, make_prompt(1, 0), 0.0)
         for request in range(4):
-            placement.started(home, prompt_of(1, request), 0.0)
-        assert choose(placement, prompt_of(1, 9), 0.1) != home
+            placement.note_started(home, make_prompt(1, request), 0.0)
+        assert choose(placement, make_prompt(1, 9), 0.1) != home
 
-    def test_an_engine_that_failed_is_left_alone_for_a_while(self) -> None:
-        placement = Placement(_HERE)
-        home = choose(placement, prompt_of(1, 0), 0.0)
-        placement.failed(home, 0.0)
-        assert choose(placement, prompt_of(1, 1), 0.1) != home
-        assert choose(placement, prompt_of(1, 2), 0.6) == home
+    def test_failed_engine_is_suspended_for_a_while(self) -> None:
+        placement = Placement(_LOCAL)
+        home = choose(placement, make_prompt(1, 0), 0.0)
+        placement.note_failure(home, 0.0)
+        assert choose(placement, make_prompt(1, 1), 0.1) != home
+        assert choose(placement, make_prompt(1, 2), 0.6) == home
 
-    def test_where_all_failed_one_is_tried_all_the_same(self) -> None:
+    def test_an_engine_is_chosen_when_all_are_suspended(self) -> None:
         """Symptom: requests are refused though upstreams could serve them.
 
         Sequence: a cut makes every upstream fail at once, and ends.
         Cause: suspicion of all of them was taken for knowledge.
         """
-        placement = Placement(_HERE)
+        placement = Placement(_LOCAL)
         for engine in _ENGINES:
-            placement.failed(engine, 0.0)
-        choose(placement, prompt_of(1, 0), 0.1)
+            placement.note_failure(engine, 0.0)
+        choose(placement, make_prompt(1, 0), 0.1)
 
-    def test_what_was_tried_is_not_chosen_again(self) -> None:
-        placement = Placement(_HERE)
-        home = choose(placement, prompt_of(1, 0), 0.0)
-        assert choose(placement, prompt_of(1, 0), 0.0, tried={home.upstream_id}) != home
+    def test_tried_engine_is_not_chosen_again(self) -> None:
+        placement = Placement(_LOCAL)
+        home = choose(placement, make_prompt(1, 0), 0.0)
+        assert choose(placement, make_prompt(1, 0), 0.0, tried={home.upstream_id}) != home
 
-    def read_again(self, *, by_prefix: bool) -> float:
+    def reread_share(self, *, by_prefix: bool) -> float:
         """Return the part of shared tokens that engines read though another had them."""
         rng = random.Random(1)
-        placement = Placement(_HERE)
+        placement = Placement(_LOCAL)
         cached: dict[str, set[str]] = {engine.upstream_id: set() for engine in _ENGINES}
         read = shared = 0
         for request in range(2_000):
-            prompt = prompt_of(rng.randrange(200), request)
+            prompt = make_prompt(rng.randrange(200), request)
             engine = (
                 choose(placement, prompt, 0.02 * request) if by_prefix else rng.choice(_ENGINES)
             )
-            placed = placement.started(engine, prompt, 0.02 * request)
-            placement.ended(placed)
+            placed = placement.note_started(engine, prompt, 0.02 * request)
+            placement.note_ended(placed)
             for part in prompt.parts[:-1]:
                 shared += part.tokens
                 if part.part_id not in cached[engine.upstream_id]:
@@ -94,13 +94,13 @@
                     cached[engine.upstream_id].add(part.part_id)
         return read / shared
 
-    def test_shared_parts_are_read_once(self) -> None:
+    def test_placement_avoids_rereading_shared_parts(self) -> None:
         """Shared tokens read: 31 % with a random engine, 7 % by placement (40 s, one seed)."""
-        assert self.read_again(by_prefix=False) > 0.25
-        assert self.read_again(by_prefix=True) < 0.1
+        assert self.reread_share(by_prefix=False) > 0.25
+        assert self.reread_share(by_prefix=True) < 0.1
 
 
-class TestNearFirst:
+class TestLocalPreference:
     """Short questions at an instance whose data centre has two of eight engines."""
 
     _ALL = tuple(
@@ -108,34 +108,34 @@
         for n in range(8)
     )
 
-    def far_share(self, running: int) -> float:
+    def remote_share(self, running: int) -> float:
         """Return which part goes elsewhere while so many questions run at a time."""
         placement = Placement(DataCentre("d0"))
         rng = random.Random(1)
-        open_ones = []
-        far = 0
+        in_flight = []
+        remote = 0
         for number in range(400):
             prompt = Prompt("m", 600, 300, (PromptPart(f"q-{number}", 600),))
             chosen = placement.choose(
                 self._ALL, prompt, f"q-{number}", tried=frozenset(), now_s=number / 10
             )
             assert chosen is not None
-            far += chosen.data_centre != "d0"
-            placed = placement.started(chosen, prompt, number / 10)
-            placement.read(placed)
-            open_ones.append(placed)
-            if len(open_ones) > running:
-                placement.ended(open_ones.pop(rng.randrange(len(open_ones))))
-        return far / 400
-
-    def test_questions_stay_in_their_data_centre(self) -> None:
+            remote += chosen.data_centre != "d0"
+            placed = placement.note_started(chosen, prompt, number / 10)
+            placement.note_prompt_read(placed)
+            in_flight.append(placed)
+            if len(in_flight) > running:
+                placement.note_ended(in_flight.pop(rng.randrange(len(in_flight))))
+        return remote / 400
+
+    def test_few_questions_stay_in_their_data_centre(self) -> None:
         """Symptom: a cut between data centres breaks questions that need not have crossed it.
 
         Sequence: a few questions run at a time; a data centre is cut off; those that run at
         another one's engine break, and no other engine may go on with them.
         Cause: nearness broke ties only. With four running at a time, 61 % went elsewhere.
         """
-        assert self.far_share(4) < 0.05
+        assert self.remote_share(4) < 0.05
 
-    def test_many_are_spread(self) -> None:
-        assert 0.5 < self.far_share(40) < 0.8
+    def test_many_questions_use_remote_engines(self) -> None:
+        assert 0.5 < self.remote_share(40) < 0.8
--- a/mothstand/tests/test_quarantine.py
+++ b/mothstand/tests/test_quarantine.py
@@ -3,154 +3,158 @@
 from __future__ import annotations
 
 from ..core.quarantine import (
-    DOUBT_S,
-    MOST_ENDS,
-    MOST_TRIALS,
+    COMMON_CAUSE_GRACE_S,
+    CRASH_THRESHOLD,
+    MAX_PROBES,
     ForgottenRequest,
+    Probe,
     Quarantine,
-    Trial,
-    UpstreamEnd,
+    UpstreamCrash,
 )
 from ..core.request_digest import RequestDigest
 from ..core.upstreams import UpstreamKey
 
-D = RequestDigest("d")
-OTHER = UpstreamEnd(RequestDigest("other"), UpstreamKey("u9", 1), "r", "i", 0)
-FIRST, SECOND = Trial(D, "first"), Trial(D, "second")
+DIGEST = RequestDigest("d")
+OTHER = UpstreamCrash(RequestDigest("other"), UpstreamKey("u9", 1), "r", "i", 0)
+FIRST, SECOND = Probe(DIGEST, "first"), Probe(DIGEST, "second")
 
 
-def end(number: int, *, known_ends: int | None = None) -> UpstreamEnd:
+def crash(number: int, *, known_crashes: int | None = None) -> UpstreamCrash:
     """Return the end of an upstream; as a rule all ends before it were known to its instance."""
-    known = number if known_ends is None else known_ends
-    return UpstreamEnd(D, UpstreamKey(f"u{number}", 1), f"r{number}", "i", known)
+    known = number if known_crashes is None else known_crashes
+    return UpstreamCrash(DIGEST, UpstreamKey(f"u{number}", 1), f"r{number}", "i", known)
 
 
-def quarantine(*ends: UpstreamEnd, now_s: float = 0.0) -> Quarantine:
+def make_quarantine(*crashes: UpstreamCrash, now_s: float = 0.0) -> Quarantine:
     result = Quarantine()
-    for one in ends:
-        result.add_end(one, now_s)
+    for one in crashes:
+        result.add_crash(one, now_s)
     return result
 
 
 class TestQuarantine:
-    def test_begins_with_the_third_of_ends_one_after_the_other(self) -> None:
-        assert not quarantine(end(0), end(1)).is_held(D, 0.0)
-        assert quarantine(end(0), end(1), end(2)).is_held(D, 0.0)
+    def test_third_sequential_crash_quarantines(self) -> None:
+        assert not make_quarantine(crash(0), crash(1)).is_quarantined(DIGEST, 0.0)
+        assert make_quarantine(crash(0), crash(1), crash(2)).is_quarantined(DIGEST, 0.0)
 
-    def test_an_end_that_many_tell_counts_once(self) -> None:
+    def test_crash_reported_several_times_counts_once(self) -> None:
         # Guards against all requests of one upstream that ends, or two that tell of one end.
-        held = quarantine(end(0), end(0), end(0, known_ends=2))
-        assert len(held.ends(D)) == 1
+        quarantine = make_quarantine(crash(0), crash(0), crash(0, known_crashes=2))
+        assert len(quarantine.crashes(DIGEST)) == 1
 
-    def test_ends_of_attempts_beside_each_other_leave_time_for_an_answer(self) -> None:
+    def test_concurrent_crashes_quarantine_after_the_grace(self) -> None:
         # Guards against a popular request that is refused as soon as several upstreams end at once.
-        held = quarantine(*(end(n, known_ends=0) for n in range(MOST_ENDS)))
-        assert not held.is_held(D, DOUBT_S / 2)
-        assert held.is_held(D, DOUBT_S)
-
-    def test_a_whole_answer_clears(self) -> None:
-        held = quarantine(end(0), end(1), end(2))
-        held.clear(D)
-        assert not held.is_held(D, 0.0)
-        assert held.is_empty
-
-    def test_a_first_trial_is_made_at_once_only_where_one_cause_may_be_behind_all(self) -> None:
-        assert not quarantine(end(0), end(1), end(2)).is_trial_due(D, DOUBT_S)
-        doubted = quarantine(*(end(n, known_ends=1) for n in range(MOST_ENDS)))
-        assert doubted.is_trial_due(D, DOUBT_S)
-        doubted.add_trial(FIRST, DOUBT_S)
-        assert not doubted.is_trial_due(D, 2 * DOUBT_S)
-        assert doubted.is_trial_due(D, DOUBT_S + 10.0)
-
-    def test_trials_are_few_and_ever_later(self) -> None:
-        held = quarantine(end(0), end(1), end(2))
-        trials_s = []
+        quarantine = make_quarantine(*(crash(n, known_crashes=0) for n in range(CRASH_THRESHOLD)))
+        assert not quarantine.is_quarantined(DIGEST, COMMON_CAUSE_GRACE_S / 2)
+        assert quarantine.is_quarantined(DIGEST, COMMON_CAUSE_GRACE_S)
+
+    def test_complete_answer_clears_the_quarantine(self) -> None:
+        quarantine = make_quarantine(crash(0), crash(1), crash(2))
+        quarantine.clear(DIGEST)
+        assert not quarantine.is_quarantined(DIGEST, 0.0)
+        assert quarantine.is_empty
+
+    def test_first_probe_is_immediate_only_for_a_possible_common_cause(self) -> None:
+        assert not make_quarantine(crash(0), crash(1), crash(2)).is_probe_due(
+            DIGEST, COMMON_CAUSE_GRACE_S
+        )
+        common_cause = make_quarantine(*(crash(n, known_crashes=1) for n in range(CRASH_THRESHOLD)))
+        assert common_cause.is_probe_due(DIGEST, COMMON_CAUSE_GRACE_S)
+        common_cause.add_probe(FIRST, COMMON_CAUSE_GRACE_S)
+        assert not common_cause.is_probe_due(DIGEST, 2 * COMMON_CAUSE_GRACE_S)
+        assert common_cause.is_probe_due(DIGEST, COMMON_CAUSE_GRACE_S + 10.0)
+
+    def test_probes_are_limited_and_pauses_grow(self) -> None:
+        quarantine = make_quarantine(crash(0), crash(1), crash(2))
+        probes_s = []
         now_s = 0.0
-        while held.is_held(D, now_s) and now_s < 3600.0:
-            if held.is_trial_due(D, now_s):
-                held.add_trial(Trial(D, f"at {now_s}"), now_s)
-                trials_s.append(now_s)
+        while quarantine.is_quarantined(DIGEST, now_s) and now_s < 3600.0:
+            if quarantine.is_probe_due(DIGEST, now_s):
+                quarantine.add_probe(Probe(DIGEST, f"at {now_s}"), now_s)
+                probes_s.append(now_s)
             now_s += 1.0
-        assert trials_s == [30.0, 180.0]
-        assert len(trials_s) == MOST_TRIALS
+        assert probes_s == [30.0, 180.0]
+        assert len(probes_s) == MAX_PROBES
 
-    def test_a_request_is_told_to_come_back_for_the_next_trial(self) -> None:
-        held = quarantine(end(0), end(1), end(2))
-        assert held.come_back_s(D, 20.0) == 10.0
+    def test_retry_after_is_the_time_to_the_next_probe(self) -> None:
+        quarantine = make_quarantine(crash(0), crash(1), crash(2))
+        assert quarantine.retry_after_s(DIGEST, 20.0) == 10.0
 
-    def test_upstreams_that_end_without_it_bring_the_first_trial_forward(self) -> None:
+    def test_crash_without_the_request_brings_the_first_probe_forward(self) -> None:
         # Guards against a popular request that is refused for long after all upstreams ended twice.
-        held = quarantine(end(0), end(1), end(2))
-        held.add_end(OTHER, 0.5)
-        assert held.is_held(D, 0.0)
-        assert held.is_trial_due(D, DOUBT_S)
+        quarantine = make_quarantine(crash(0), crash(1), crash(2))
+        quarantine.add_crash(OTHER, 0.5)
+        assert quarantine.is_quarantined(DIGEST, 0.0)
+        assert quarantine.is_probe_due(DIGEST, COMMON_CAUSE_GRACE_S)
 
-    def test_old_ends_that_are_listed_bring_no_trial_forward(self) -> None:
+    def test_old_listed_crash_brings_no_probe_forward(self) -> None:
         # Guards against an instance that starts, takes old ends for new ones, and tries at once.
-        held = Quarantine()
-        for one in (end(0), end(1), end(2)):
-            held.add_end(one, 0.0)
-        held.add_end(OTHER, 0.0, age_s=3000.0)
-        assert not held.is_trial_due(D, 29.0)
+        quarantine = Quarantine()
+        for one in (crash(0), crash(1), crash(2)):
+            quarantine.add_crash(one, 0.0)
+        quarantine.add_crash(OTHER, 0.0, age_s=3000.0)
+        assert not quarantine.is_probe_due(DIGEST, 29.0)
 
-    def test_ends_that_are_listed_tell_of_another_cause(self) -> None:
+    def test_recent_listed_crash_brings_the_first_probe_forward(self) -> None:
         # Guards against a restart that forgets that upstreams also ended for another cause.
-        held = Quarantine()
-        for one, age_s in ((end(0), 5.0), (end(1), 4.0), (end(2), 3.0), (OTHER, 2.0)):
-            held.add_end(one, 0.0, age_s=age_s)
-        assert held.is_trial_due(D, 0.0)
+        quarantine = Quarantine()
+        for one, age_s in ((crash(0), 5.0), (crash(1), 4.0), (crash(2), 3.0), (OTHER, 2.0)):
+            quarantine.add_crash(one, 0.0, age_s=age_s)
+        assert quarantine.is_probe_due(DIGEST, 0.0)
 
-    def test_pauses_go_on_after_a_restart(self) -> None:
+    def test_probe_pauses_continue_after_a_restart(self) -> None:
         # Guards against restarts in series, each of which begins all pauses anew.
-        held = Quarantine()
-        for one in (end(0), end(1), end(2)):
-            held.add_end(one, 0.0, age_s=25.0)
-        assert not held.is_trial_due(D, 4.0)
-        assert held.is_trial_due(D, 5.0)
-        held.add_trial(FIRST, 0.0, age_s=20.0)
-        assert not held.is_trial_due(D, 129.0)
-        assert held.is_trial_due(D, 130.0)
-
-    def test_ends_of_any_age_are_remembered(self) -> None:
+        quarantine = Quarantine()
+        for one in (crash(0), crash(1), crash(2)):
+            quarantine.add_crash(one, 0.0, age_s=25.0)
+        assert not quarantine.is_probe_due(DIGEST, 4.0)
+        assert quarantine.is_probe_due(DIGEST, 5.0)
+        quarantine.add_probe(FIRST, 0.0, age_s=20.0)
+        assert not quarantine.is_probe_due(DIGEST, 129.0)
+        assert quarantine.is_probe_due(DIGEST, 130.0)
+
+    def test_crashes_of_any_age_are_retained(self) -> None:
         # Guards against a time of day that jumps, and lets a quarantined request through.
-        held = Quarantine()
-        for one in (end(0), end(1), end(2)):
-            held.add_end(one, 0.0, age_s=1e9)
-        assert held.forget_old(3000.0) == []
-        assert held.is_held(D, 3000.0)
-
-    def test_a_trial_that_reached_no_upstream_is_made_again(self) -> None:
-        held = quarantine(end(0), end(1), end(2))
-        held.add_trial(FIRST, 30.0)
-        held.drop_trial(FIRST)
-        assert held.is_trial_due(D, 60.0)
-
-    def test_a_trial_given_back_again_leaves_that_of_another(self) -> None:
+        quarantine = Quarantine()
+        for one in (crash(0), crash(1), crash(2)):
+            quarantine.add_crash(one, 0.0, age_s=1e9)
+        assert quarantine.forget_expired(3000.0) == []
+        assert quarantine.is_quarantined(DIGEST, 3000.0)
+
+    def test_probe_that_reached_no_upstream_is_repeated(self) -> None:
+        quarantine = make_quarantine(crash(0), crash(1), crash(2))
+        quarantine.add_probe(FIRST, 30.0)
+        quarantine.drop_probe(FIRST)
+        assert quarantine.is_probe_due(DIGEST, 60.0)
+
+    def test_dropping_a_probe_twice_leaves_other_probes(self) -> None:
         # Guards against one trial more for each time that the same one is given back.
-        held = quarantine(end(0), end(1), end(2))
-        held.add_trial(FIRST, 30.0)
-        held.drop_trial(FIRST)
-        held.add_trial(SECOND, 60.0)
-        held.drop_trial(FIRST)
-        assert held.trials(D) == {SECOND}
-
-    def test_ends_are_forgotten_in_time(self) -> None:
-        assert quarantine(end(0)).forget_old(599.0) == []
-        assert quarantine(end(0)).forget_old(600.0) == [ForgottenRequest((end(0),), frozenset())]
-        assert quarantine(end(0), end(1), end(2)).forget_old(3599.0) == []
-        held = quarantine(end(0), end(1), end(2))
-        held.add_trial(FIRST, 0.0)
-        ends = (end(0), end(1), end(2))
-        assert held.forget_old(3600.0) == [ForgottenRequest(ends, frozenset({FIRST}))]
-        assert held.is_empty
-
-    def test_what_is_kept_is_bounded(self) -> None:
+        quarantine = make_quarantine(crash(0), crash(1), crash(2))
+        quarantine.add_probe(FIRST, 30.0)
+        quarantine.drop_probe(FIRST)
+        quarantine.add_probe(SECOND, 60.0)
+        quarantine.drop_probe(FIRST)
+        assert quarantine.probes(DIGEST) == {SECOND}
+
+    def test_crashes_are_forgotten_after_their_expiry(self) -> None:
+        assert make_quarantine(crash(0)).forget_expired(599.0) == []
+        assert make_quarantine(crash(0)).forget_expired(600.0) == [
+            ForgottenRequest((crash(0),), frozenset())
+        ]
+        assert make_quarantine(crash(0), crash(1), crash(2)).forget_expired(3599.0) == []
+        quarantine = make_quarantine(crash(0), crash(1), crash(2))
+        quarantine.add_probe(FIRST, 0.0)
+        ends = (crash(0), crash(1), crash(2))
+        assert quarantine.forget_expired(3600.0) == [ForgottenRequest(ends, frozenset({FIRST}))]
+        assert quarantine.is_empty
+
+    def test_retained_requests_are_bounded(self) -> None:
         # Guards against memory, or a store, that grows with each request that breaks.
-        kept = quarantine(end(0), end(1), end(2))
+        quarantine = make_quarantine(crash(0), crash(1), crash(2))
         for number in range(3000):
             digest = RequestDigest(f"d{number}")
-            kept.add_end(UpstreamEnd(digest, UpstreamKey("u", 1), "r", "i", 0), 1.0)
-        assert len(kept.all_ends()) <= 2000 + 2
-        assert kept.is_held(D, 2.0)
-        forgotten = sum(len(request.ends) for request in kept.forget_old(2.0))
-        assert len(kept.all_ends()) + forgotten == 3003
+            quarantine.add_crash(UpstreamCrash(digest, UpstreamKey("u", 1), "r", "i", 0), 1.0)
+        assert len(quarantine.all_crashes()) <= 2000 + 2
+        assert quarantine.is_quarantined(DIGEST, 2.0)
+        forgotten = sum(len(request.crashes) for request in quarantine.forget_expired(2.0))
+        assert len(quarantine.all_crashes()) + forgotten == 3003
--- a/mothstand/tests/test_quarantine_feed.py
+++ b/mothstand/tests/test_quarantine_feed.py
@@ -7,24 +7,24 @@
 
 import anyio
 
-from ..core.quarantine import MOST_ENDS
+from ..core.quarantine import CRASH_THRESHOLD
 from ..core.request_digest import RequestDigest
 from ..core.upstreams import RegisteredUpstream
-from ..gateway.end_watch import BrokenAttempt
+from ..gateway.crash_detector import BrokenAttempt
 from ..gateway.quarantine_feed import QUARANTINE_STREAM, QuarantineFeed
-from ..log.health import LogHealth
+from ..log.health import PlatformHealth
 from ..testing.fakes import SilentPeers
-from ..testing.memory_store import Fate, MemoryStore, StoreLink
+from ..testing.memory_store import MemoryStore, StoreCallOutcome, StoreLink
 from ..testing.virtual_time import VirtualClock, run_in_virtual_time
 from ..types import DataCentre
 
 if TYPE_CHECKING:
     from collections.abc import Awaitable, Callable
 
-    from ..core.quarantine import Trial
+    from ..core.quarantine import Probe
     from ..gateway.store import KeyedRecord
 
-D = RequestDigest("0123456789abcdef")
+DIGEST = RequestDigest("0123456789abcdef")
 
 
 def upstream(number: int) -> RegisteredUpstream:
@@ -35,11 +35,11 @@
     def __init__(self, fleet: Fleet) -> None:
         self._fleet = fleet
 
-    async def tell_ends(self, address: str, ends: tuple[KeyedRecord, ...]) -> None:
-        self._fleet.told.append(address)
-        if address in self._fleet.hanging:
+    async def send_quarantine_records(self, address: str, records: tuple[KeyedRecord, ...]) -> None:
+        self._fleet.notified_peers.append(address)
+        if address in self._fleet.hanging_peers:
             await anyio.sleep_forever()
-        self._fleet.feeds[address].take_from_peer(ends)
+        self._fleet.feeds[address].apply_from_peer(records)
 
 
 class Fleet:
@@ -49,41 +49,43 @@
         self.store = MemoryStore()
         self.feeds: dict[str, QuarantineFeed] = {}
         self.links: dict[str, StoreLink] = {}
-        self.told: list[str] = []
-        self.hanging: set[str] = set()
-        self.have_peers = True
-        self.fates: dict[str, list[Fate]] = defaultdict(list)
+        self.notified_peers: list[str] = []
+        self.hanging_peers: set[str] = set()
+        self.has_peers = True
+        self.outcomes: dict[str, list[StoreCallOutcome]] = defaultdict(list)
 
     def start(self, name: str) -> QuarantineFeed:
         clock = VirtualClock()
-        self.links[name] = StoreLink(self.store, lambda: self.fate(name), gives_up_after_s=0.3)
+        self.links[name] = StoreLink(
+            self.store, lambda: self.next_outcome(name), gives_up_after_s=0.3
+        )
         self.feeds[name] = QuarantineFeed(
             self.links[name],
             clock,
-            LogHealth(clock),
+            PlatformHealth(clock),
             name,
             Peers(self),
-            lambda: [other for other in self.feeds if other != name and self.have_peers],
+            lambda: [other for other in self.feeds if other != name and self.has_peers],
             lambda: len(self.feeds),
         )
         return self.feeds[name]
 
-    def fate(self, name: str) -> Fate:
-        return self.fates[name].pop(0) if self.fates[name] else Fate.ANSWERED
+    def next_outcome(self, name: str) -> StoreCallOutcome:
+        return self.outcomes[name].pop(0) if self.outcomes[name] else StoreCallOutcome.ANSWERED
 
-    def report(self, name: str, *numbers: int, known_ends: int | None = None) -> None:
+    def report(self, name: str, *numbers: int, known_crashes: int | None = None) -> None:
         for number in numbers:
-            known = number if known_ends is None else known_ends
-            attempt = BrokenAttempt(f"r{number}", D, known_ends=known)
+            known = number if known_crashes is None else known_crashes
+            attempt = BrokenAttempt(f"r{number}", DIGEST, known_crashes=known)
             self.feeds[name].report(upstream(number), attempt)
 
-    def is_held(self, name: str) -> bool:
-        return self.feeds[name].quarantine.is_held(D, anyio.current_time())
+    def is_quarantined(self, name: str) -> bool:
+        return self.feeds[name].quarantine.is_quarantined(DIGEST, anyio.current_time())
 
     def keys(self) -> list[str]:
         return [record.key for record in self.store.newest(QUARANTINE_STREAM).records]
 
-    def trial_keys(self) -> list[str]:
+    def probe_keys(self) -> list[str]:
         return [key for key in self.keys() if "trial" in key]
 
     def play(self, steps: Callable[[], Awaitable[None]]) -> None:
@@ -101,7 +103,7 @@
 
 
 class TestQuarantineFeed:
-    def test_ends_seen_by_different_instances_add_up_everywhere(self) -> None:
+    def test_crashes_seen_by_different_instances_add_up(self) -> None:
         # Guards against ends that each instance counts for itself.
         fleet = Fleet()
         for name in "abcd":
@@ -111,33 +113,33 @@
             for number, name in enumerate("abc"):
                 fleet.report(name, number)
                 await anyio.sleep(0.5)
-            assert all(fleet.is_held(name) for name in "abcd")
+            assert all(fleet.is_quarantined(name) for name in "abcd")
 
         fleet.play(steps)
 
-    def test_an_instance_that_starts_knows_what_was_told_before(self) -> None:
+    def test_starting_instance_learns_earlier_crashes(self) -> None:
         # Guards against a restart that lets the request through again.
         fleet = Fleet()
         fleet.start("a")
 
         async def steps() -> None:
-            fleet.report("a", *range(MOST_ENDS))
+            fleet.report("a", *range(CRASH_THRESHOLD))
             await anyio.sleep(0.5)
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(fleet.start("b").run)
                 await anyio.sleep(0.5)
-                assert fleet.is_held("b")
+                assert fleet.is_quarantined("b")
                 tasks.cancel_scope.cancel()
 
         fleet.play(steps)
 
-    def test_an_instance_that_starts_knows_of_another_cause(self) -> None:
+    def test_starting_instance_detects_common_cause_of_crashes(self) -> None:
         # Guards against a restart after which a popular request is held for long.
         fleet = Fleet()
         fleet.start("a")
 
         async def steps() -> None:
-            for number in range(MOST_ENDS):
+            for number in range(CRASH_THRESHOLD):
                 crowd = BrokenAttempt(f"crowd{number}", RequestDigest("e" * 16))
                 fleet.feeds["a"].report(upstream(10 + number), crowd)
                 fleet.report("a", number)
@@ -145,42 +147,42 @@
             late = fleet.start("b")
             with anyio.move_on_after(1.5):
                 await late.run()
-            assert fleet.is_held("b")
-            assert late.quarantine.is_trial_due(D, anyio.current_time())
+            assert fleet.is_quarantined("b")
+            assert late.quarantine.is_probe_due(DIGEST, anyio.current_time())
 
         fleet.play(steps)
 
-    def test_pauses_go_on_at_an_instance_that_starts(self) -> None:
+    def test_starting_instance_continues_probe_pause(self) -> None:
         # Guards against restarts in series, after which no trial is ever due.
         fleet = Fleet()
         fleet.start("a")
 
         async def steps() -> None:
-            fleet.report("a", *range(MOST_ENDS))
+            fleet.report("a", *range(CRASH_THRESHOLD))
             await anyio.sleep(25.0)
             late = fleet.start("b")
             with anyio.move_on_after(6.0):
                 await late.run()
-            assert late.quarantine.is_trial_due(D, anyio.current_time())
+            assert late.quarantine.is_probe_due(DIGEST, anyio.current_time())
 
         fleet.play(steps)
 
-    def test_an_answer_anywhere_clears_everywhere(self) -> None:
+    def test_answer_at_one_instance_clears_quarantine_at_all(self) -> None:
         fleet = Fleet()
         for name in "ab":
             fleet.start(name)
 
         async def steps() -> None:
-            fleet.report("a", *range(MOST_ENDS))
+            fleet.report("a", *range(CRASH_THRESHOLD))
             await anyio.sleep(0.5)
-            fleet.feeds["b"].clear(D)
+            fleet.feeds["b"].clear(DIGEST)
             await anyio.sleep(0.5)
             assert fleet.feeds["a"].quarantine.is_empty
             assert fleet.keys() == []
 
         fleet.play(steps)
 
-    def test_a_peer_tells_the_store_what_it_does_not_take_from_here(self) -> None:
+    def test_peer_appends_records_of_instance_cut_off_from_store(self) -> None:
         # Guards against ends that only an instance cut off from the store has seen.
         fleet = Fleet()
         for name in "abcde":
@@ -188,62 +190,62 @@
 
         async def steps() -> None:
             fleet.links["a"].is_cut = True
-            fleet.report("a", *range(MOST_ENDS))
+            fleet.report("a", *range(CRASH_THRESHOLD))
             await anyio.sleep(2.0)
-            assert all(fleet.is_held(name) for name in "abcde")
-            assert len(fleet.told) <= 9
+            assert all(fleet.is_quarantined(name) for name in "abcde")
+            assert len(fleet.notified_peers) <= 9
 
         fleet.play(steps)
 
-    def test_the_store_is_told_while_peers_hang(self) -> None:
+    def test_records_are_appended_while_peers_hang(self) -> None:
         # Guards against an end that waits for a call to a peer, and is lost with its instance.
         fleet = Fleet()
         for name in "abcd":
             fleet.start(name)
-        fleet.hanging = set("bcd")
+        fleet.hanging_peers = set("bcd")
 
         async def steps() -> None:
             fleet.links["a"].is_cut = True
             fleet.report("a", 0)
             await anyio.sleep(0.5)
-            assert sorted(fleet.told) == ["b", "c", "d"]
+            assert sorted(fleet.notified_peers) == ["b", "c", "d"]
             fleet.links["a"].is_cut = False
             await anyio.sleep(0.5)
             assert len(fleet.keys()) == 1
 
         fleet.play(steps)
 
-    def test_what_the_store_missed_is_told_within_the_window_after_its_return(self) -> None:
+    def test_crashes_during_outage_are_appended_after_the_store_returns(self) -> None:
         fleet = Fleet()
         for name in "ab":
             fleet.start(name)
-        fleet.have_peers = False
+        fleet.has_peers = False
 
         async def steps() -> None:
             for link in fleet.links.values():
                 link.is_cut = True
-            fleet.report("a", *range(MOST_ENDS))
+            fleet.report("a", *range(CRASH_THRESHOLD))
             await anyio.sleep(20.0)
-            assert not fleet.is_held("b")
+            assert not fleet.is_quarantined("b")
             for link in fleet.links.values():
                 link.is_cut = False
             await anyio.sleep(1.5)
-            assert fleet.is_held("b")
+            assert fleet.is_quarantined("b")
 
         fleet.play(steps)
 
-    def test_one_instance_of_all_makes_a_trial(self) -> None:
+    def test_only_one_instance_sends_a_probe(self) -> None:
         # Guards against a trial or two from each instance.
         fleet = Fleet()
         for name in "abcdef":
             fleet.start(name)
-        claimed: list[Trial | None] = []
+        claimed: list[Probe | None] = []
 
         async def claim(name: str) -> None:
-            claimed.append(await fleet.feeds[name].claim_trial(D))
+            claimed.append(await fleet.feeds[name].claim_probe(DIGEST))
 
         async def steps() -> None:
-            fleet.report("a", *range(MOST_ENDS))
+            fleet.report("a", *range(CRASH_THRESHOLD))
             await anyio.sleep(31.0)
             async with anyio.create_task_group() as tasks:
                 for name in "abcdef":
@@ -256,82 +258,82 @@
 
         fleet.play(steps)
 
-    def test_a_trial_whose_claim_had_no_answer_is_made_by_another(self) -> None:
+    def test_probe_with_unanswered_claim_is_sent_by_another_instance(self) -> None:
         # Guards against a trial that nobody makes, and that counts as made for good.
         fleet = Fleet()
         for name in "ab":
             fleet.start(name)
 
         async def steps() -> None:
-            fleet.report("a", *range(MOST_ENDS), known_ends=0)
+            fleet.report("a", *range(CRASH_THRESHOLD), known_crashes=0)
             await anyio.sleep(1.5)
-            fleet.fates["a"] = [Fate.UNANSWERED]
-            assert await fleet.feeds["a"].claim_trial(D) is None
+            fleet.outcomes["a"] = [StoreCallOutcome.UNANSWERED]
+            assert await fleet.feeds["a"].claim_probe(DIGEST) is None
             await anyio.sleep(2.5)
-            assert await fleet.feeds["b"].claim_trial(D) is not None
+            assert await fleet.feeds["b"].claim_probe(DIGEST) is not None
 
         fleet.play(steps)
 
-    def test_a_trial_given_back_twice_leaves_that_of_another(self) -> None:
+    def test_probe_returned_twice_does_not_drop_another_probe(self) -> None:
         # Guards against one trial more for each append that is repeated after a lost answer.
         fleet = Fleet()
         for name in "abc":
             fleet.start(name)
 
         async def steps() -> None:
-            fleet.report("a", *range(MOST_ENDS), known_ends=0)
+            fleet.report("a", *range(CRASH_THRESHOLD), known_crashes=0)
             await anyio.sleep(1.5)
-            first = await fleet.feeds["a"].claim_trial(D)
+            first = await fleet.feeds["a"].claim_probe(DIGEST)
             assert first is not None
-            (first_key,) = fleet.trial_keys()
-            fleet.feeds["a"].return_trial(first)
+            (first_key,) = fleet.probe_keys()
+            fleet.feeds["a"].return_probe(first)
             await anyio.sleep(2.0)
-            assert await fleet.feeds["b"].claim_trial(D) is not None
+            assert await fleet.feeds["b"].claim_probe(DIGEST) is not None
             fleet.store.put(QUARANTINE_STREAM, first_key, None)
             await anyio.sleep(2.0)
-            assert await fleet.feeds["c"].claim_trial(D) is None
+            assert await fleet.feeds["c"].claim_probe(DIGEST) is None
 
         fleet.play(steps)
 
-    def test_a_peer_gives_a_trial_back_for_an_instance_that_is_cut_off(self) -> None:
+    def test_peer_returns_probe_of_instance_cut_off_from_store(self) -> None:
         # Guards against a trial that counts as made until its instance has its store again.
         fleet = Fleet()
         for name in "abcdef":
             fleet.start(name)
 
         async def steps() -> None:
-            fleet.report("a", *range(MOST_ENDS), known_ends=0)
+            fleet.report("a", *range(CRASH_THRESHOLD), known_crashes=0)
             await anyio.sleep(1.5)
-            claimed = await fleet.feeds["a"].claim_trial(D)
+            claimed = await fleet.feeds["a"].claim_probe(DIGEST)
             assert claimed is not None
             await anyio.sleep(0.5)
             fleet.links["a"].is_cut = True
-            fleet.feeds["a"].return_trial(claimed)
+            fleet.feeds["a"].return_probe(claimed)
             await anyio.sleep(1.0)
-            assert fleet.trial_keys() == []
+            assert fleet.probe_keys() == []
 
         fleet.play(steps)
 
-    def test_records_that_cannot_be_read_are_passed_over(self) -> None:
+    def test_unreadable_records_are_skipped(self) -> None:
         fleet = Fleet()
         fleet.start("a")
         for key, value in (
             ("", b"x"),
-            (f"{D}/end-1", b"\xff"),
-            (f"{D}/trial-x", b"{}"),
-            (f"{D}/trial-7", b"{}"),
+            (f"{DIGEST}/end-1", b"\xff"),
+            (f"{DIGEST}/trial-x", b"{}"),
+            (f"{DIGEST}/trial-7", b"{}"),
             ("no slash", None),
         ):
             fleet.store.put(QUARANTINE_STREAM, key, value)
 
         async def steps() -> None:
-            fleet.report("a", *range(MOST_ENDS))
+            fleet.report("a", *range(CRASH_THRESHOLD))
             await anyio.sleep(0.5)
-            assert fleet.is_held("a")
+            assert fleet.is_quarantined("a")
 
         fleet.play(steps)
 
-    def test_what_is_forgotten_leaves_the_store(self) -> None:
+    def test_expired_crashes_are_dropped_from_store(self) -> None:
         fleet = Fleet()
         for name in "ab":
             fleet.start(name)
--- a/mothstand/tests/test_elsewhere.py
+++ b/mothstand/tests/test_remote_reserve.py
@@ -17,7 +17,7 @@
 from ..ledger.state import ShardContext, ShardState
 from ..peers.failures import PeerError
 from ..settings.instance import TimingSection
-from ..testing.fakes import FakeBeliefs, FakeClock, FakeWriter, NoPeers
+from ..testing.fakes import FakeClock, FakeMembership, FakeWriter, NoPeers
 from ..types import NO_EPOCH, BudgetName, DataCentre, Epoch, Member, Shard
 
 if TYPE_CHECKING:
@@ -58,7 +58,7 @@
             self._start(me, other)
 
     def _start(self, me: Member, other: Member) -> None:
-        beliefs = FakeBeliefs(me, DataCentre(f"sto-{me.name}"))
+        beliefs = FakeMembership(me, DataCentre(f"sto-{me.name}"))
         beliefs.believed_elsewhere = {other.name: other}
         context = ShardContext(
             membership=beliefs,
@@ -73,7 +73,7 @@
         for offset, record in enumerate(records(), start=1):
             state.fold.apply(offset, record)
         epoch = EPOCHS[me.name]
-        state.holders[epoch] = HolderAccount(epoch, witnessed=False)
+        state.holders[epoch] = HolderAccount(epoch, has_witness=False)
         reserver = self.peers.reservers[me.address] = Reserver(state)
         writer = self.writers[me.name] = FakeWriter(me.incarnation)
         reserver.attach(EscrowAgent(state, writer, reserver.want_mirror))  # type: ignore[arg-type]
@@ -94,16 +94,16 @@
         """The reserver of `a`."""
         return self.peers.reservers[A.address]
 
-    def beliefs(self) -> FakeBeliefs:
+    def beliefs(self) -> FakeMembership:
         """Return whom `a` believes to be alive."""
         membership = self.states[A.name].context.membership
-        assert isinstance(membership, FakeBeliefs)
+        assert isinstance(membership, FakeMembership)
         return membership
 
     def spent(self, name: str) -> int:
         """Return what a leaseholder's account has spent or reserved."""
         account = self.states[name].holders[EPOCHS[name]]
-        return sum(spend.own_tokens for spend in account.spends())
+        return sum(spend.own_tokens for spend in account.budget_spends())
 
 
 def records() -> list[LedgerRecord]:
--- a/mothstand/tests/test_request_digest.py
+++ b/mothstand/tests/test_request_digest.py
@@ -29,5 +29,5 @@
     def test_does_not_depend_on_how_the_host_is_written(self) -> None:
         assert digest(host="H.example:8080") == digest()
 
-    def test_parts_do_not_run_into_each_other(self) -> None:
+    def test_parts_are_delimited(self) -> None:
         assert digest(method="P", target="OST/a?b") != digest(method="POS", target="T/a?b")
--- a/mothstand/tests/test_resume.py
+++ b/mothstand/tests/test_resume.py
@@ -11,7 +11,7 @@
 from ..standins.engine import answer_tokens
 from ..testing.examples import chat, write_folder
 from ..testing.fleet import Fleet, wait_until
-from ..testing.load import Got, Load, read_answer
+from ..testing.load import CallOutcome, Load, read_answer
 from ..testing.views import view_of
 
 if TYPE_CHECKING:
@@ -66,7 +66,7 @@
         fleet.set_faults("llm-a", mode=mode)
         fleet.set_faults("llm-b", mode=mode)
         got, text = streamed(fleet)
-        assert got["got"] is Got.WHOLE, text
+        assert got["got"] is CallOutcome.WHOLE, text
         assert got["text"] == "".join(answer_tokens(PROMPT, 16))
         assert got["usage_tokens"] == len(PROMPT.split()) + 16
         assert second_tries(fleet), "the first engine did not fail"
@@ -77,7 +77,7 @@
         for name in ENGINES:
             fleet.set_faults(name, mode="truncate")
         got, text = streamed(fleet)
-        assert got["got"] is Got.BROKEN
+        assert got["got"] is CallOutcome.BROKEN
         assert "[DONE]" not in text
         assert "".join(answer_tokens(PROMPT, 16)).startswith(got["text"])
 
@@ -103,7 +103,7 @@
             time.sleep(1.0)
             fleet.processes["llm-a"].kill()
             time.sleep(1.5)
-        assert {record.got for record in load.records} == {Got.WHOLE}
+        assert {record.outcome for record in load.records} == {CallOutcome.WHOLE}
         for record in load.records:
             assert record.text == "".join(answer_tokens(record.prompt, 16))
         wait_until(lambda: len(billed(fleet)) > len(load.records), "bills")
--- a/mothstand/tests/test_retry_histories.py
+++ b/mothstand/tests/test_retry_histories.py
@@ -4,13 +4,13 @@
 
 import pytest
 
-from ..testing.retry_histories import ALL_TROUBLES, RetryHistory, Trouble
-from ..testing.retry_plants import Plant
+from ..testing.retry_faults import InjectedFault
+from ..testing.retry_histories import ALL_DISRUPTIONS, Disruption, RetryHistory
 
 _SEEDS = range(12)
 
 
-def broken_seeds(troubles: Trouble, *, instances: int = 6) -> list[int]:
+def broken_seeds(troubles: Disruption, *, instances: int = 6) -> list[int]:
     histories = [RetryHistory(seed, troubles, instances=instances) for seed in _SEEDS]
     return [history.seed for history in histories if history.run().is_broken]
 
@@ -18,38 +18,38 @@
 class TestRetryHistories:
     def test_windows_of_the_instances_that_do_not_lie_alike(self) -> None:
         # Guards against retries paid for by requests that the fleet's window does not have.
-        assert broken_seeds(Trouble.JUMPS) + broken_seeds(Trouble.NONE) == []
+        assert broken_seeds(Disruption.JUMPS) + broken_seeds(Disruption.NONE) == []
 
     def test_restarts_in_series(self) -> None:
         # Guards against a start that has its part of the burst anew within the same window.
-        assert broken_seeds(Trouble.KILLS) == []
+        assert broken_seeds(Disruption.KILLS) == []
 
     def test_store_away_from_the_start(self) -> None:
         # Guards against an instance that takes itself for the whole fleet.
-        assert broken_seeds(Trouble.STORE_AWAY) == []
+        assert broken_seeds(Disruption.STORE_AWAY) == []
 
     def test_instances_that_are_added(self) -> None:
         # Guards against parts of the burst that newcomers take before others give them up.
-        assert broken_seeds(Trouble.ADDED) == []
+        assert broken_seeds(Disruption.ADDED) == []
 
     def test_processes_that_hang(self) -> None:
         # Guards against requests that count as sent when a process woke and read them.
-        assert broken_seeds(Trouble.FREEZES) == []
+        assert broken_seeds(Disruption.FREEZES) == []
 
     @pytest.mark.parametrize("instances", [6, 18])
     def test_all_troubles_at_once(self, instances: int) -> None:
-        assert broken_seeds(ALL_TROUBLES, instances=instances) == []
+        assert broken_seeds(ALL_DISRUPTIONS, instances=instances) == []
 
     @pytest.mark.parametrize(
         ("plant", "troubles"),
         [
-            (Plant.OWN_WINDOW, Trouble.NONE),
-            (Plant.FORGETS_RETRIES, Trouble.KILLS),
-            (Plant.BELIEVES_FLEET, Trouble.STORE_AWAY),
-            (Plant.IGNORES_STALLS, Trouble.FREEZES),
-            (Plant.TAKES_AT_ONCE, Trouble.STORE_AWAY | Trouble.ADDED),
+            (InjectedFault.OWN_WINDOW, Disruption.NONE),
+            (InjectedFault.FORGETS_RETRIES, Disruption.KILLS),
+            (InjectedFault.BELIEVES_FLEET, Disruption.STORE_AWAY),
+            (InjectedFault.IGNORES_STALLS, Disruption.FREEZES),
+            (InjectedFault.TAKES_AT_ONCE, Disruption.STORE_AWAY | Disruption.ADDED),
         ],
     )
-    def test_planted_faults_are_found(self, plant: Plant, troubles: Trouble) -> None:
+    def test_planted_faults_are_found(self, plant: InjectedFault, troubles: Disruption) -> None:
         histories = (RetryHistory(seed, troubles, plant) for seed in range(24))
         assert any(history.run().is_broken for history in histories)
--- a/mothstand/tests/test_routing.py
+++ b/mothstand/tests/test_routing.py
@@ -15,13 +15,13 @@
 from ..errors import ErrorKind
 from ..types import DataCentre
 
-HERE, THERE = DataCentre("sto-a"), DataCentre("sto-b")
+LOCAL, REMOTE = DataCentre("sto-a"), DataCentre("sto-b")
 NOW = datetime(2026, 12, 2, 12, tzinfo=UTC)
 
 
-def upstream(name: str, place: DataCentre = HERE, slots: int = 8) -> Upstream:
+def upstream(name: str, data_centre: DataCentre = LOCAL, slots: int = 8) -> Upstream:
     """Return an engine."""
-    return Upstream(name, UpstreamKind.ENGINE, "127.0.0.1:1", place, ("m",), slots)
+    return Upstream(name, UpstreamKind.ENGINE, "127.0.0.1:1", data_centre, ("m",), slots)
 
 
 CONFIG = FleetConfig(upstreams={n: upstream(n) for n in ("a", "b", "c")})
@@ -45,36 +45,36 @@
 
 
 class TestAffinity:
-    def test_same_prefix_same_upstream(self) -> None:
-        router = Router(HERE)
+    def test_same_prefix_goes_to_the_same_upstream(self) -> None:
+        router = Router(LOCAL)
         assert len({choose(router) for _ in range(10)}) == 1
 
-    def test_bounded_load(self) -> None:
+    def test_affinity_is_bounded_by_load(self) -> None:
         """Symptom: one engine is full while others idle.
 
         Sequence: all callers share one prompt prefix.
         Cause it guards against: affinity without regard to load.
         """
-        router = Router(HERE)
+        router = Router(LOCAL)
         loads: Counter[str] = Counter()
         for _ in range(18):
             name = choose(router)
-            router.started(name)
+            router.note_started(name)
             loads[name] += 1
         assert max(loads.values()) <= 8
         assert len(loads) == 3
 
-    def test_full_is_refused_at_once(self) -> None:
-        router = Router(HERE)
+    def test_request_is_refused_when_all_upstreams_are_full(self) -> None:
+        router = Router(LOCAL)
         for _ in range(48):
-            router.started(choose(router))
+            router.note_started(choose(router))
         assert choose(router) == ErrorKind.OVERLOADED.value
 
     def test_low_priority_is_shed_first(self) -> None:
-        router = Router(HERE)
+        router = Router(LOCAL)
         low = replace(CALL, priority=0)
         while choose(router, call=low) in CONFIG.upstreams:
-            router.started(choose(router, call=low))
+            router.note_started(choose(router, call=low))
         assert choose(router, call=low) == ErrorKind.OVERLOADED.value
         assert choose(router) in CONFIG.upstreams
 
@@ -85,72 +85,72 @@
         Cause it guards against: a limit for low priority above the engine's slots.
         """
         config = FleetConfig(upstreams={"a": upstream("a", slots=10)})
-        router = Router(HERE)
+        router = Router(LOCAL)
         low = replace(CALL, priority=0)
         sent = 0
         while choose(router, config, low) == "a":
-            router.started("a")
+            router.note_started("a")
             sent += 1
         assert sent == 10
         assert choose(router, config) == "a"
 
-    def test_high_priority_waits_as_long_as_it_may(self) -> None:
+    def test_high_priority_queue_follows_request_duration(self) -> None:
         """Symptom: high priority is refused though a slot comes free every few milliseconds.
 
         Sequence: low priority fills the slots of an engine whose requests are short.
         Cause: the queue was sized by the number of slots, not by how soon they come free.
         """
         config = FleetConfig(upstreams={"a": upstream("a", slots=10)})
-        router = Router(HERE)
+        router = Router(LOCAL)
         for _ in range(200):
-            router.started("a")
-            router.ended("a", failed=False, took_s=0.1, now_s=0.0)
-        router.reported("a", 10, 0.0)
+            router.note_started("a")
+            router.note_ended("a", failed=False, elapsed_s=0.1, now_s=0.0)
+        router.note_load_report("a", 10, 0.0)
         low = replace(CALL, priority=0)
         assert choose(router, config, low) == ErrorKind.OVERLOADED.value
         waiting = 0
         while choose(router, config) == "a":
-            router.started("a")
+            router.note_started("a")
             waiting += 1
         # One comes free every 10 ms, and a request may wait 200 ms.
         assert waiting == 20
 
 
-class TestLeaving:
-    def test_planned_stop(self) -> None:
+class TestDraining:
+    def test_planned_stop_excludes_the_upstream(self) -> None:
         stops = {"a": PlannedStop("a", NOW), "b": PlannedStop("b", NOW + timedelta(seconds=1))}
         config = replace(CONFIG, stops=stops)
-        router = Router(HERE)
+        router = Router(LOCAL)
         names = {choose(router, config, replace(CALL, prefix=str(i))) for i in range(50)}
         assert names == {"b", "c"}
 
-    def test_lagging_list(self) -> None:
-        router = Router(HERE, leaving=frozenset({"a", "b"}))
+    def test_draining_upstreams_are_excluded(self) -> None:
+        router = Router(LOCAL, draining=frozenset({"a", "b"}))
         assert choose(router) == "c"
 
 
 class TestFailures:
-    def test_circuit_opens_and_lets_one_try(self) -> None:
-        router = Router(HERE)
+    def test_open_circuit_admits_one_request_after_a_pause(self) -> None:
+        router = Router(LOCAL)
         config = FleetConfig(upstreams={"a": upstream("a")})
         for _ in range(3):
-            router.started("a")
-            router.ended("a", failed=True, took_s=0.1, now_s=0.0)
+            router.note_started("a")
+            router.note_ended("a", failed=True, elapsed_s=0.1, now_s=0.0)
         assert choose(router, config, now_s=1.0) == ErrorKind.NO_UPSTREAM.value
         assert choose(router, config, now_s=3.0) == "a"
-        router.started("a")
+        router.note_started("a")
         assert choose(router, config, now_s=3.0) == ErrorKind.NO_UPSTREAM.value
-        router.ended("a", failed=False, took_s=0.1, now_s=3.0)
+        router.note_ended("a", failed=False, elapsed_s=0.1, now_s=3.0)
         assert choose(router, config, now_s=3.0) == "a"
 
-    def test_other_data_centre_only_without_one_here(self) -> None:
-        config = FleetConfig(upstreams={"a": upstream("a"), "z": upstream("z", THERE)})
-        assert choose(Router(HERE), config) == "a"
-        assert choose(Router(HERE, leaving=frozenset({"a"})), config) == "z"
+    def test_remote_upstream_is_used_only_without_a_local_one(self) -> None:
+        config = FleetConfig(upstreams={"a": upstream("a"), "z": upstream("z", REMOTE)})
+        assert choose(Router(LOCAL), config) == "a"
+        assert choose(Router(LOCAL, draining=frozenset({"a"})), config) == "z"
 
-    def test_tried_ones_are_left_out(self) -> None:
-        call = replace(CALL, tried=frozenset({"a", "b", "c"}))
-        assert choose(Router(HERE), call=call) == ErrorKind.NO_UPSTREAM.value
+    def test_tried_upstreams_are_excluded(self) -> None:
+        call = replace(CALL, tried_upstreams=frozenset({"a", "b", "c"}))
+        assert choose(Router(LOCAL), call=call) == ErrorKind.NO_UPSTREAM.value
 
 
 class TestLoadReports:
@@ -160,19 +160,19 @@
         Sequence: another instance fills an engine, this one has sent it nothing.
         Cause it guards against: own counts taken for the engine's load.
         """
-        router = Router(HERE)
+        router = Router(LOCAL)
         first = choose(router)
-        router.reported(first, 8, 0.0)
+        router.note_load_report(first, 8, 0.0)
         assert choose(router) != first
 
-    def test_old_report_counts_no_more(self) -> None:
-        router = Router(HERE)
+    def test_expired_report_is_ignored(self) -> None:
+        router = Router(LOCAL)
         config = FleetConfig(upstreams={"a": upstream("a")})
-        router.reported("a", 100, 0.0)
+        router.note_load_report("a", 100, 0.0)
         assert choose(router, config, now_s=1.0) == ErrorKind.OVERLOADED.value
         assert choose(router, config, now_s=10.0) == "a"
 
-    def test_sharers_do_not_fill_the_same_room_twice(self) -> None:
+    def test_sharers_do_not_fill_the_same_slots_twice(self) -> None:
         """Symptom: queues at engines after each load report.
 
         Sequence: an engine reports 4 free slots, each of 4 instances sends it 4 requests.
@@ -181,10 +181,10 @@
         config = FleetConfig(upstreams={"a": upstream("a", slots=8)})
         sent = 0
         for _ in range(4):
-            router = Router(HERE)
-            router.reported("a", 4, 0.0)
+            router = Router(LOCAL)
+            router.note_load_report("a", 4, 0.0)
             while choose(router, config, sharers=4) == "a":
-                router.started("a")
+                router.note_started("a")
                 sent += 1
         # Room for 4, and one that may wait; each instance rounds up.
         assert sent <= 8
@@ -196,43 +196,43 @@
         Cause: the bound on affinity followed the mean load and not the slots.
         """
         config = FleetConfig(upstreams={n: upstream(n, slots=8) for n in ("a", "b", "c")})
-        router = Router(HERE)
+        router = Router(LOCAL)
         first = choose(router, config)
         for name in config.upstreams:
-            router.reported(name, 8 if name == first else 7, 0.0)
+            router.note_load_report(name, 8 if name == first else 7, 0.0)
         assert choose(router, config) != first
 
 
 class TestOverflow:
-    CONFIG = FleetConfig(upstreams={"a": upstream("a"), "z": upstream("z", THERE)})
+    CONFIG = FleetConfig(upstreams={"a": upstream("a"), "z": upstream("z", REMOTE)})
 
-    def test_other_data_centre_takes_what_is_too_much_here(self) -> None:
+    def test_remote_upstream_is_used_when_local_ones_are_full(self) -> None:
         """Symptom: refusals in one data centre while the next has slots free.
 
         Sequence: the upstreams here are full; the other data centre's say that they are not.
         Cause: upstreams elsewhere were used only when there was none here.
         """
-        router = Router(HERE)
-        router.reported("a", 100, 0.0)
-        router.reported("z", 2, 0.0)
+        router = Router(LOCAL)
+        router.note_load_report("a", 100, 0.0)
+        router.note_load_report("z", 2, 0.0)
         assert choose(router, self.CONFIG) == "z"
 
-    def test_nothing_waits_in_another_data_centre(self) -> None:
-        router = Router(HERE)
-        router.reported("a", 100, 0.0)
-        router.reported("z", 8, 0.0)
+    def test_no_request_queues_at_a_remote_upstream(self) -> None:
+        router = Router(LOCAL)
+        router.note_load_report("a", 100, 0.0)
+        router.note_load_report("z", 8, 0.0)
         assert choose(router, self.CONFIG) == ErrorKind.OVERLOADED.value
 
-    def test_one_request_finds_out(self) -> None:
+    def test_one_request_probes_a_remote_upstream_without_a_report(self) -> None:
         """Symptom: a data centre's upstreams are flooded by another's overload.
 
         Sequence: those here are full, nothing is known of those elsewhere.
         Cause it guards against: no word on the load taken for no load.
         """
-        router = Router(HERE)
-        router.reported("a", 100, 0.0)
+        router = Router(LOCAL)
+        router.note_load_report("a", 100, 0.0)
         assert choose(router, self.CONFIG) == "z"
-        router.started("z")
+        router.note_started("z")
         assert choose(router, self.CONFIG) == ErrorKind.OVERLOADED.value
 
 
--- a/mothstand/tests/test_slow_connections.py
+++ b/mothstand/tests/test_slow_connections.py
@@ -9,7 +9,7 @@
 import anyio
 import pytest
 
-from ..gateway.lending import GrpcPeerLink, Knowledge, LendingService, LoanReply, serve_peers
+from ..gateway.lending import BootstrapState, GrpcPeerLink, LendingService, LoanReply, serve_peers
 from ..gateway.store import StoreError, Stream
 from ..peers.failures import PeerError
 from ..platform.store import HttpStore
@@ -24,7 +24,7 @@
 _CONNECT_S = 0.55
 
 #: Calls of which one must be answered; three or four suffice if the connection attempt is kept.
-_MOST_CALLS = 8
+_MAX_CALLS = 8
 
 _PAUSE_S = 0.15
 
@@ -51,14 +51,14 @@
     call: Callable[[], Awaitable[object]], failure: type[Exception]
 ) -> int:
     """Repeat a call until it succeeds, and return the number of calls."""
-    for number in range(1, _MOST_CALLS + 1):
+    for number in range(1, _MAX_CALLS + 1):
         try:
             await call()
         except failure:
             await anyio.sleep(_PAUSE_S)
         else:
             return number
-    pytest.fail(f"no answer to {_MOST_CALLS} calls")
+    pytest.fail(f"no answer to {_MAX_CALLS} calls")
 
 
 async def empty_page(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -75,7 +75,7 @@
 
 class TestHttpStore:
     @pytest.mark.anyio
-    async def test_is_reached_though_connections_take_longer_than_a_call_waits(
+    async def test_connection_attempt_outlives_the_call_that_began_it(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         """Guards against an instance that serves with a configuration 5 s old after a cut.
@@ -97,7 +97,7 @@
         assert calls > 1
 
     @pytest.mark.anyio
-    async def test_an_append_without_a_connection_is_surely_not_done(
+    async def test_append_without_a_connection_is_reported_as_not_done(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         slow_down_connections(monkeypatch)
@@ -112,7 +112,7 @@
 
 class TestGrpcPeerLink:
     @pytest.mark.anyio
-    async def test_is_reached_though_connections_take_longer_than_a_call_waits(
+    async def test_connection_attempt_outlives_the_call_that_began_it(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         """Guards against an instance that gets no loans for seconds though all peers run.
@@ -123,13 +123,13 @@
         slow_down_connections(monkeypatch)
         address = f"127.0.0.1:{free_port()}"
         service = LendingService(
-            _no_loan, lambda _: None, _nothing_known, lambda: 12.5, lambda _: None
+            _no_loan, lambda _: None, _empty_state, lambda: 12.5, lambda _: None
         )
         peer = await serve_peers(service, address)
         link = GrpcPeerLink()
         try:
             calls = await calls_until_answered(
-                lambda: link.registrations_followed_s(address), PeerError
+                lambda: link.registrations_gapless_s(address), PeerError
             )
         finally:
             link.close()
@@ -138,7 +138,7 @@
         assert calls > 1
 
     @pytest.mark.anyio
-    async def test_a_call_that_was_sent_is_never_taken_for_unsent(
+    async def test_sent_call_is_never_reported_as_unsent(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         """Guards against overspending: tokens kept by the sender and added by the lender.
@@ -148,17 +148,17 @@
         """
         address = f"127.0.0.1:{free_port()}"
         service = LendingService(
-            _no_loan, lambda _: None, _nothing_known, lambda: 12.5, lambda _: None
+            _no_loan, lambda _: None, _empty_state, lambda: 12.5, lambda _: None
         )
         peer = await serve_peers(service, address)
         link = GrpcPeerLink()
-        await link.registrations_followed_s(address)
+        await link.registrations_gapless_s(address)
         sent = link._call(address)
         sent.__enter__()
-        link._drop(address)
+        link._close_channel(address)
         slow_down_connections(monkeypatch)
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(link.registrations_followed_s, address)
+            tasks.start_soon(link.registrations_gapless_s, address)
             await anyio.sleep(0.05)
             with pytest.raises(PeerError) as failure:
                 sent.__exit__(TimeoutError, TimeoutError(), None)
@@ -169,7 +169,7 @@
         assert failure.type is PeerError
 
     @pytest.mark.anyio
-    async def test_calls_that_wait_for_one_connection_end_each_by_itself(
+    async def test_calls_waiting_for_one_connection_fail_independently(
         self, monkeypatch: pytest.MonkeyPatch
     ) -> None:
         """Guards against an instance that exits by itself, with code 0 as after a stop.
@@ -188,7 +188,7 @@
 
         async def call() -> None:
             try:
-                await link.registrations_followed_s("127.0.0.1:9")
+                await link.registrations_gapless_s("127.0.0.1:9")
             except PeerError as error:
                 failures.append(error)
 
@@ -204,5 +204,5 @@
     return LoanReply(0, 0)
 
 
-def _nothing_known() -> Knowledge:
-    return Knowledge(b"", (), ())
+def _empty_state() -> BootstrapState:
+    return BootstrapState(b"", (), ())
--- a/mothstand/tests/test_sockets.py
+++ b/mothstand/tests/test_sockets.py
@@ -53,7 +53,7 @@
 
 class TestStrictResponseHandler:
     @pytest.mark.anyio
-    async def test_a_reset_does_not_end_a_body_without_a_length(self) -> None:
+    async def test_reset_fails_body_without_length(self) -> None:
         """Symptom: a caller gets half an answer that looks whole.
 
         Sequence: an upstream answers without a length and crashes in the middle.
@@ -73,7 +73,7 @@
                 await answer.read()
 
     @pytest.mark.anyio
-    async def test_a_proper_end_ends_a_body_without_a_length(self) -> None:
+    async def test_regular_close_ends_body_without_length(self) -> None:
         async def whole(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
             writer.write(b"HTTP/1.1 200 OK\r\n\r\nwhole")
@@ -84,7 +84,7 @@
             assert await answer.read() == b"whole"
 
     @pytest.mark.anyio
-    async def test_a_connection_with_surplus_bytes_is_not_used_again(self) -> None:
+    async def test_connection_with_surplus_bytes_is_not_reused(self) -> None:
         """Symptom: a caller gets another caller's answer.
 
         Sequence: an upstream sends a second answer on a kept connection; the next request uses it.
@@ -112,7 +112,7 @@
 
 class TestHttpStore:
     @pytest.mark.anyio
-    async def test_a_page_that_takes_long_on_a_thin_link_is_read(self) -> None:
+    async def test_page_is_read_on_a_slow_link(self) -> None:
         """Symptom: an instance with a thin link never gets a new configuration again.
 
         Sequence: many versions of a large configuration are published while the store turns the
@@ -139,7 +139,7 @@
         assert len(read.records) == 4
 
     @pytest.mark.anyio
-    async def test_a_store_that_falls_silent_in_an_answer_is_given_up(self) -> None:
+    async def test_store_that_stops_sending_in_mid_answer_times_out(self) -> None:
         async def half(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf")
--- a/mothstand/tests/test_store_witness.py
+++ b/mothstand/tests/test_store_witness.py
@@ -10,8 +10,8 @@
 from ..core.fleet import Member
 from ..core.loans import Peer
 from ..gateway.lending import (
+    BootstrapState,
     GrpcPeerLink,
-    Knowledge,
     LendingService,
     LoanReply,
     LoanRequest,
@@ -20,7 +20,7 @@
 from ..gateway.member_feed import MemberFeed
 from ..gateway.store_witness import PeerWitness
 from ..gateway.upstream_feed import UpstreamFeed
-from ..log.health import LogHealth
+from ..log.health import PlatformHealth
 from ..peers.failures import PeerError
 from ..platform.records import UPSTREAMS_STREAM, decode_upstream
 from ..testing.fakes import RETRIES, NoWitness, SilentPeers
@@ -43,11 +43,11 @@
     def __init__(self) -> None:
         self.feeds: dict[str, UpstreamFeed] = {}
 
-    async def registrations_followed_s(self, address: str) -> float:
+    async def registrations_gapless_s(self, address: str) -> float:
         if address not in self.feeds:
             await anyio.sleep(0.25)
             raise PeerError(address)
-        return self.feeds[address].followed_s()
+        return self.feeds[address].gapless_s()
 
 
 class _Fleet:
@@ -63,13 +63,13 @@
             self.link,
             _member("me"),
             self.clock,
-            LogHealth(self.clock),
+            PlatformHealth(self.clock),
             lambda: None,
             RETRIES,
             started_s=0.0,
         )
         for number in range(peers + dead):
-            members.fleet.note(_member(f"peer-{number}"), 0.0)
+            members.fleet.apply_announcement(_member(f"peer-{number}"), 0.0)
         for number in range(peers):
             calls.feeds[f"peer-{number}:1"] = self._feed(self.peer_link, NoWitness())
         self.peers = list(calls.feeds.values())
@@ -83,7 +83,7 @@
             link,
             UPSTREAMS_STREAM,
             self.clock,
-            LogHealth(self.clock),
+            PlatformHealth(self.clock),
             decode_upstream,
             lambda _: None,
             wait_s=1.0,
@@ -105,7 +105,7 @@
                 cut(False)
                 await anyio.sleep(1.0)
                 tasks.cancel_scope.cancel()
-            return {u.upstream_id for u in self.feed.directory.of_service("llm")}
+            return {u.upstream_id for u in self.feed.directory.accepting_upstreams("llm")}
 
         return run_in_virtual_time(run)
 
@@ -158,7 +158,7 @@
             server = await serve_peers(service, address)
             link = GrpcPeerLink()
             try:
-                return await link.registrations_followed_s(address)
+                return await link.registrations_gapless_s(address)
             finally:
                 link.close()
                 server.close()
@@ -171,5 +171,5 @@
     return LoanReply(0, 0)
 
 
-def _nothing_known() -> Knowledge:
-    return Knowledge(b"", (), ())
+def _nothing_known() -> BootstrapState:
+    return BootstrapState(b"", (), ())
--- a/mothstand/tests/test_stream_check.py
+++ b/mothstand/tests/test_stream_check.py
@@ -27,7 +27,7 @@
 
 class TestStreamCheck:
     @given(cuts=st.lists(st.integers(0, 400), max_size=8))
-    def test_whole_answer_however_it_is_cut(self, cuts: list[int]) -> None:
+    def test_complete_answer_passes_for_any_chunking(self, cuts: list[int]) -> None:
         stream = event("ett", completion=1) + event("två", completion=2) + DONE
         check = StreamCheck(wants_usage=False)
         bounds = sorted({0, len(stream), *(cut for cut in cuts if cut < len(stream))})
@@ -48,13 +48,13 @@
             DONE + event("x"),
         ],
     )
-    def test_what_is_no_part_of_the_answer(self, late: bytes) -> None:
+    def test_event_outside_the_answer_breaks_the_stream(self, late: bytes) -> None:
         check = StreamCheck(wants_usage=False)
         check.feed(event("ett"))
         with pytest.raises(BrokenStreamError):
             check.feed(late)
 
-    def test_truncated(self) -> None:
+    def test_truncated_stream_is_broken(self) -> None:
         check = StreamCheck(wants_usage=False)
         check.feed(event("ett"))
         with pytest.raises(BrokenStreamError):
@@ -67,7 +67,7 @@
         assert StreamCheck(wants_usage=False).feed(usage) == b""
 
     @given(cut=st.integers(0, 700))
-    def test_another_engine_goes_on_from_any_byte(self, cut: int) -> None:
+    def test_another_engine_continues_from_any_byte(self, cut: int) -> None:
         """Symptom: a word is missing or doubled where one engine's text meets the other's.
 
         Sequence: a stream ends at any byte; another engine goes on with what was passed.
@@ -77,12 +77,12 @@
         first = b"".join(event(word, completion=n) for n, word in enumerate(words, start=1))
         check = StreamCheck(wants_usage=False)
         sent = check.feed(first[:cut])
-        so_far = check.so_far
-        rest = words[len(so_far.pieces) :]
-        assert so_far.can_continue is (len(rest) < len(words))
-        if not so_far.can_continue:
+        answer = check.answer
+        rest = words[len(answer.pieces) :]
+        assert answer.can_continue is (len(rest) < len(words))
+        if not answer.can_continue:
             return
-        second = StreamCheck(wants_usage=False, before=so_far)
+        second = StreamCheck(wants_usage=False, prior_answer=answer)
         for number, word in enumerate(rest, start=1):
             sent += second.feed(event(word, answer="b", completion=number))
         sent += second.feed(DONE)
@@ -95,7 +95,7 @@
         assert second.usage.total_tokens == 3 + len(words)
 
     @pytest.mark.parametrize("finished", [True, False])
-    def test_whole_answer_whose_engine_is_gone_is_closed(self, *, finished: bool) -> None:
+    def test_complete_answer_is_closed_after_its_engine_crashed(self, *, finished: bool) -> None:
         """Symptom: an answer ends as an error though all of its text has come.
 
         Sequence: an engine dies after its last token, before the end marker.
@@ -107,9 +107,9 @@
             choice = {"index": 0, "delta": {}, "finish_reason": "stop"}
             value = {"id": "a", "choices": [choice]}
             sent += check.feed(b"data: " + json.dumps(value).encode() + b"\n\n")
-        assert not check.so_far.is_whole(3) or finished
-        assert check.so_far.is_whole(2)
-        sent += check.so_far.closing(wants_usage=True)
+        assert not check.answer.is_complete(3) or finished
+        assert check.answer.is_complete(2)
+        sent += check.answer.closing_events(wants_usage=True)
         lines = sent.decode().strip().split("\n\n")
         assert lines[-1] == "data: [DONE]"
         values = [json.loads(line[6:]) for line in lines[:-1]]
@@ -122,8 +122,8 @@
         check = StreamCheck(wants_usage=False)
         with pytest.raises(BrokenStreamError) as broken:
             check.feed(event("ett") + event("x", answer="b"))
-        assert broken.value.kept == event("ett")
-        assert check.so_far.text == "ett"
+        assert broken.value.valid_events == event("ett")
+        assert check.answer.text == "ett"
 
     @pytest.mark.parametrize(
         "choice",
@@ -134,15 +134,15 @@
             "x",
         ],
     )
-    def test_more_than_text_is_not_gone_on_with(self, choice: object) -> None:
+    def test_answer_with_more_than_text_cannot_be_continued(self, choice: object) -> None:
         check = StreamCheck(wants_usage=False)
         check.feed(event("ett"))
         value = {"id": "a", "choices": [choice]}
         check.feed(b"data: " + json.dumps(value).encode() + b"\n\n")
-        assert not check.so_far.can_continue
+        assert not check.answer.can_continue
 
     @given(data=st.lists(st.binary(max_size=60) | st.just(event("x")) | st.just(DONE)))
-    def test_anything_is_passed_or_broken(self, data: list[bytes]) -> None:
+    def test_any_input_passes_or_raises_broken_stream_error(self, data: list[bytes]) -> None:
         """Symptom: a traceback in place of an answer.
 
         Sequence: an engine sends bytes that are no event stream.
@@ -155,4 +155,4 @@
             check.finish()
         except BrokenStreamError:
             return
-        assert check.done
+        assert check.is_done
--- a/mothstand/tests/test_users_platform.py
+++ b/mothstand/tests/test_users_platform.py
@@ -49,10 +49,10 @@
 
 
 class TestConfig:
-    def test_is_decoded_into_the_fleets_types(self) -> None:
+    def test_configuration_is_decoded_into_fleet_types(self) -> None:
         config = decode_config(json.dumps(_CONFIG).encode())
         assert config.version == 7
-        assert config.services["a"].event_tokens == 4
+        assert config.services["a"].tokens_per_event == 4
         assert config.limits.idle_timeout_s == 1.5
         workspace = config.workspace_for("k2")
         assert workspace is not None
@@ -60,13 +60,13 @@
         route = config.routes[0]
         assert (route.kind, route.timeout_s) == (RequestKind.STREAMING, 15.0)
 
-    def test_the_longest_prefix_wins(self) -> None:
+    def test_route_with_longest_prefix_is_chosen(self) -> None:
         config = decode_config(json.dumps(_CONFIG).encode())
         route = config.route_for("FICU95.example:8740", "/pufi/deep/x")
         assert route is not None and route.name == "r-2"
         assert config.route_for("ficu95.example", "/other/") is None
 
-    def test_a_split_follows_its_weights_and_a_request_stays(self) -> None:
+    def test_split_follows_weights_and_is_stable_per_request(self) -> None:
         route = decode_config(json.dumps(_CONFIG).encode()).routes[0]
         chosen = [route.service_for(f"request-{n}") for n in range(2000)]
         assert 0.06 < chosen.count("b") / 2000 < 0.14
@@ -75,7 +75,7 @@
     @pytest.mark.parametrize(
         "data", [b"", b"{}", b'{"version": "x"}', b'{"version":1,"routes":[{}]}']
     )
-    def test_a_malformed_one_is_refused(self, data: bytes) -> None:
+    def test_malformed_configuration_is_rejected(self, data: bytes) -> None:
         with pytest.raises(ValueError, match="not a configuration"):
             decode_config(data)
 
@@ -94,22 +94,22 @@
 
 
 class TestUpstream:
-    def test_registration(self) -> None:
+    def test_registration_is_decoded(self) -> None:
         upstream = decode_upstream("i-1", json.dumps(_REGISTRATION).encode())
-        assert (upstream.address, upstream.data_centre, upstream.draining) == (
+        assert (upstream.address, upstream.data_centre, upstream.is_draining) == (
             "10.0.0.9:80",
             "z",
             True,
         )
 
-    def test_start_of_the_process(self) -> None:
+    def test_process_start_time_is_decoded(self) -> None:
         data = json.dumps({**_REGISTRATION, "born": 1_796_000_000_123}).encode()
         assert decode_upstream("i-1", data).born_ms == 1_796_000_000_123
 
     @pytest.mark.parametrize(
         "data", [b"", b"[]", b"\xff\x00", b'{"service": "a"}', b"[" * 5000, b"null"]
     )
-    def test_a_malformed_one_is_refused(self, data: bytes) -> None:
+    def test_malformed_registration_is_rejected(self, data: bytes) -> None:
         with pytest.raises(ValueError, match="not a registration"):
             decode_upstream("i-1", data)
 
@@ -134,7 +134,7 @@
             ("born", None),
         ],
     )
-    def test_one_of_another_writer_is_refused(self, field: str, value: object) -> None:
+    def test_registration_with_invalid_field_is_rejected(self, field: str, value: object) -> None:
         """Symptom: requests go to an address that no upstream has.
 
         Sequence: something else writes an entry beside the upstreams' own, with a state that no
@@ -146,26 +146,26 @@
             decode_upstream("i-1", data)
 
     @pytest.mark.parametrize("field", [f for f in _REGISTRATION if f != "models"])
-    def test_one_that_lacks_a_field_is_refused(self, field: str) -> None:
+    def test_registration_without_a_field_is_rejected(self, field: str) -> None:
         data = {name: value for name, value in _REGISTRATION.items() if name != field}
         with pytest.raises(ValueError, match=field):
             decode_upstream("i-1", json.dumps(data).encode())
 
     @pytest.mark.parametrize("upstream_id", ["", "i 1", "i-1\r\nHost: x", "\ufffd", "i" * 201])
-    def test_an_id_that_no_header_can_carry_is_refused(self, upstream_id: str) -> None:
+    def test_id_unfit_for_a_header_is_rejected(self, upstream_id: str) -> None:
         with pytest.raises(ValueError, match="cannot be an upstream's id"):
             decode_upstream(upstream_id, json.dumps(_REGISTRATION).encode())
 
 
 class TestStoreFormat:
-    def test_records_survive_the_binary_form(self) -> None:
+    def test_records_round_trip_through_binary_form(self) -> None:
         body = encode_record(KeyedRecord("k", b"value")) + encode_record(KeyedRecord("gone", None))
         page = decode_page(struct.pack(">QQ", 9, 0) + body, 7)
         assert page.records == (KeyedRecord("k", b"value", 7), KeyedRecord("gone", None, 8))
         assert page.next_offset == 9
 
     @pytest.mark.parametrize("content", [b"", b"\x05k", b"\x01\xff\xff"])
-    def test_a_record_that_cannot_be_read_does_not_end_the_page(self, content: bytes) -> None:
+    def test_undecodable_record_does_not_end_the_page(self, content: bytes) -> None:
         """Symptom: an instance never learns of upstreams that come or leave.
 
         Sequence: something else writes an empty record, or one shorter than its key. Cause: the
@@ -177,7 +177,7 @@
         assert page.records[1] == KeyedRecord("k", b"value", 8)
         assert page.next_offset == 9
 
-    def test_a_page_that_is_cut_off_is_refused(self) -> None:
+    def test_truncated_page_is_rejected(self) -> None:
         body = encode_record(KeyedRecord("k", b"value"))
         with pytest.raises(ValueError, match="cut off"):
             decode_page(struct.pack(">QQ", 9, 0) + body[:-1], 7)
@@ -201,13 +201,13 @@
         ("X-Custom", "kept"),
     )
 
-    def test_what_a_caller_says(self) -> None:
+    def test_caller_headers_are_read(self) -> None:
         fields = PlatformHeaders().read_caller(self.headers)
         assert (fields.request_id, fields.key, fields.deadline_s) == ("9c41", "secret", 5.0)
         assert fields.prompt.max_tokens == 1540
         assert [part.tokens for part in fields.prompt.parts] == [800, 410, 250]
 
-    def test_a_caller_cannot_set_what_is_the_fleets(self) -> None:
+    def test_caller_cannot_set_reserved_headers(self) -> None:
         """Symptom: a caller spends another's tokens, or the key reaches an upstream.
 
         Sequence: a caller sends the headers that the fleet sets itself.
@@ -233,12 +233,12 @@
             ("X-Deadline-Milliseconds", "soon"),
         ],
     )
-    def test_a_malformed_header_is_refused(self, header: tuple[str, str]) -> None:
+    def test_malformed_header_is_rejected(self, header: tuple[str, str]) -> None:
         with pytest.raises(ValueError, match=header[1]):
             PlatformHeaders().read_caller((header,))
 
-    def test_words_of_an_upstream(self) -> None:
+    def test_upstream_headers_are_read(self) -> None:
         translator = PlatformHeaders()
-        assert translator.read_upstream(503, (("X-Not-Executed", "1"),)).not_run
-        assert not translator.read_upstream(503, ()).not_run
-        assert translator.read_upstream(421, ()).misdirected
+        assert translator.read_upstream(503, (("X-Not-Executed", "1"),)).has_not_run
+        assert not translator.read_upstream(503, ()).has_not_run
+        assert translator.read_upstream(421, ()).is_misdirected
