--- a/mothstand/gateway/accounts.py
+++ b/mothstand/gateway/accounts.py
@@ -308,7 +308,7 @@
                 await shard.borrower.hand_over()
 
     async def _wait_for_unlock(self, until_s: float) -> None:
-        """Wait for claims that unlock soon: before, tokens past a window can't be handed over."""
+        """Wait for claims that unlock soon: until then no peer can get the tokens past a window."""
         unlocks_in_s = max(shard.claim_manager.unlocks_in_s() for shard in self.shards)
         ends_s = self._clock.monotonic_s() + unlocks_in_s
         if self._health.is_failing and unlocks_in_s <= _RESTART_S and ends_s <= until_s:
--- a/mothstand/gateway/borrowing.py
+++ b/mothstand/gateway/borrowing.py
@@ -262,7 +262,7 @@
         )
 
     def _pop_unreported_tokens(self, budget: BudgetName) -> int:
-        """Return and reset the unreported spend. If the call fails, it is never reported.
+        """Return and reset the unreported spend; a failed loan request never reports it again.
 
         Spend that is reported twice could make a lender refuse paid requests for good, as if the
         budget were exhausted. Unreported spend only makes the last requests be retried later.
--- a/mothstand/gateway/instance.py
+++ b/mothstand/gateway/instance.py
@@ -274,7 +274,7 @@
         """Return whether requests can be served, as far as this is known now.
 
         Before it knows the fleet, an instance neither claims tokens nor knows which peers lend
-        them. This is not waited for while the store is unreachable: the wait is unbounded, and some
+        them. While the store is unreachable this is not required: the outage may last, and some
         routes need no tokens.
         """
         knows_fleet = self._members.is_settled or self._health.is_failing
--- a/mothstand/gateway/lending.py
+++ b/mothstand/gateway/lending.py
@@ -313,7 +313,7 @@
     Notes
     -----
     The call keeps its channel to know whether anything was sent. Another call may have replaced
-    the link's channel by then, and tokens that the peer got would be taken for unsent.
+    the link's channel by then, and tokens that the peer got would be considered unsent.
     """
 
     def __init__(self, link: GrpcPeerLink, address: str) -> None:
--- a/mothstand/gateway/upstream_feed.py
+++ b/mothstand/gateway/upstream_feed.py
@@ -114,7 +114,7 @@
     def apply(self, records: tuple[KeyedRecord, ...]) -> None:
         """Apply later records, in order."""
         now_s = self._clock.monotonic_s()
-        size_before = dict(self.directory.upstreams)
+        before = dict(self.directory.upstreams)
         for record in records:
             if record.value is None:
                 self._raw.pop(record.key, None)
@@ -132,7 +132,7 @@
                     draining=upstream.is_draining,
                     offset=record.offset,
                 )
-        self._notify_removed(size_before)
+        self._notify_removed(before)
 
     def _log_end(self, upstream_id: str, retained_s: float, offset: int | None) -> None:
         """Log the end of a registration, and whether its upstream is still used for a grace."""
--- a/mothstand/tests/test_deregistered_upstreams.py
+++ b/mothstand/tests/test_deregistered_upstreams.py
@@ -116,7 +116,7 @@
 
 class TestDeregisteredUpstreams:
     def test_deregistered_during_a_cut_is_dropped_in_time(self) -> None:
-        """Guards against requests to a deregistered upstream 3 s after a cut, as in the module."""
+        """Guards against requests to a deregistered upstream 3 s after a cut (see the module)."""
         worst_s = _worst_s(lambda instance: {3.0: lambda: instance.deregister("leaves")})
         assert worst_s < _MAX_REACTION_S
 
--- a/mothstand/tests/test_feeds.py
+++ b/mothstand/tests/test_feeds.py
@@ -108,7 +108,7 @@
         self.store.put(UPSTREAMS_STREAM, key, value)
 
     def poll(self) -> list[str]:
-        """Read once and return the ids of the upstreams that take requests."""
+        """Read once and return the ids of the upstreams that accept requests."""
         run_in_virtual_time(self.feed.poll)
         return [u.upstream_id for u in self.feed.directory.accepting_upstreams("llm")]
 
@@ -161,7 +161,7 @@
     def test_stale_second_hand_state_is_neither_used_nor_passed_on(self) -> None:
         """Guards against passing on to a starting instance that a draining upstream is ready.
 
-        A stale second-hand registration was not applied but retained for `raw_records`.
+        A stale second-hand registration was not applied, but retained and returned by `raw_records`.
         """
         registrations = _Registrations()
         registrations.register("i-1", born_ms=1_000)
--- a/mothstand/tests/test_fleet.py
+++ b/mothstand/tests/test_fleet.py
@@ -78,8 +78,8 @@
     def test_all_instances_agree_on_the_claimants(self) -> None:
         names = [f"{data_centre}{n}" for data_centre in "abc" for n in range(8)]
         chosen = {
-            tuple(sorted(m.peer.instance for m in fleet_view(me, names).claimants(_SHARD)))
-            for me in names
+            tuple(sorted(m.peer.instance for m in fleet_view(name, names).claimants(_SHARD)))
+            for name in names
         }
         assert len(chosen) == 1
         (claimants,) = chosen
@@ -88,7 +88,7 @@
 
     def test_in_a_small_fleet_all_claim(self) -> None:
         names = ["a1", "a2", "b1", "b2", "c1", "c2"]
-        assert all(fleet_view(me, names).is_claimant(_SHARD) for me in names)
+        assert all(fleet_view(name, names).is_claimant(_SHARD) for name in names)
 
     def test_shards_have_claimants_of_their_own(self) -> None:
         view = fleet_view("a0", [f"a{n}" for n in range(30)])
@@ -101,8 +101,8 @@
         Claimants were chosen by hash alone, so that 14 of 15 had half a core and needed up to 2 s
         for a conditional append.
         """
-        usual, thick_link, large = Capacity(0.5, 20.0), Capacity(0.5, 100.0), Capacity(2.0, 100.0)
-        capacities = {7: large, 19: large, 23: thick_link}
+        usual, fast_link, large = Capacity(0.5, 20.0), Capacity(0.5, 100.0), Capacity(2.0, 100.0)
+        capacities = {7: large, 19: large, 23: fast_link}
         fleet = [
             replace(member(f"a{number:02}"), capacity=capacities.get(number, usual))
             for number in range(30)
@@ -116,21 +116,23 @@
     def test_lenders_of_the_same_data_centre_come_first(self) -> None:
         names = [f"{data_centre}{n}" for data_centre in "abc" for n in range(8)]
         lenders = [peer.instance for peer in fleet_view("b0", names).lenders(_SHARD)]
-        near = [name.startswith("b") for name in lenders]
-        assert near == sorted(near, reverse=True)
+        is_local = [name.startswith("b") for name in lenders]
+        assert is_local == sorted(is_local, reverse=True)
         assert "b0" not in lenders
 
     def test_claimant_without_announcements_is_replaced(self) -> None:
         view = fleet_view("a0", ["a0", "a1", "a2", "a3"])
-        silent = next(m.peer.instance for m in view.claimants(_SHARD) if m.peer.instance != "a0")
+        expired_name = next(
+            m.peer.instance for m in view.claimants(_SHARD) if m.peer.instance != "a0"
+        )
         now_s = 0.0
         while now_s <= (EXPIRE_AFTER_MISSED + 1) * ANNOUNCE_INTERVAL_S:
             now_s += ANNOUNCE_INTERVAL_S
             for name in ("a0", "a1", "a2", "a3"):
-                if name != silent:
+                if name != expired_name:
                     view.apply_announcement(member(name, "a"), now_s)
             view.expire_members(now_s)
-        assert silent not in {m.peer.instance for m in view.claimants(_SHARD)}
+        assert expired_name not in {m.peer.instance for m in view.claimants(_SHARD)}
         assert len(view.claimants(_SHARD)) == CLAIMANTS_PER_DATA_CENTRE
 
     def test_store_outage_expires_no_members(self) -> None:
@@ -170,10 +172,10 @@
 
         async def settles_within(incarnation: str, wait_s: float) -> bool:
             clock = VirtualClock()
-            me = Member(Peer("a0", incarnation, "a0:1"), DataCentre("a"))
+            local_member = Member(Peer("a0", incarnation, "a0:1"), DataCentre("a"))
             feed = MemberFeed(
                 StoreLink(store),
-                me,
+                local_member,
                 clock,
                 PlatformHealth(clock),
                 lambda: None,
@@ -197,10 +199,10 @@
 def borrower_with(link: PeerLink, *, tokens: int) -> tuple[Borrower, HeldBudget]:
     """Return a borrower and its held budget, with unused tokens of a loan."""
     clock = VirtualClock()
-    me = Peer("a0", "a0-1", "a0:1")
+    local_peer = Peer("a0", "a0-1", "a0:1")
     manager = ClaimManager(
         _SHARD,
-        me,
+        local_peer,
         StoreLink(MemoryStore()),
         clock,
         PlatformHealth(clock),
@@ -318,13 +320,13 @@
         """
         calls: list[Handover] = []
 
-        class Silent(SilentPeers):
+        class UnconfirmingPeers(SilentPeers):
             async def hand_over(self, address: str, handover: Handover) -> None:
                 calls.append(handover)
                 raise error(address)
 
         async def run() -> int:
-            borrower, held = borrower_with(Silent(), tokens=700)
+            borrower, held = borrower_with(UnconfirmingPeers(), tokens=700)
             for _ in range(3):
                 await borrower.give_back_unused()
             return held.available_tokens
@@ -435,8 +437,8 @@
     return fleet.counts["records read"] - fleet.counts["announcements read"]
 
 
-async def _cut_off_from_store(fleet: BudgetFleet, after_s: float, for_s: float) -> None:
+async def _cut_off_from_store(fleet: BudgetFleet, after_s: float, duration_s: float) -> None:
     await anyio.sleep(after_s)
     fleet.cut_off_from_store(True)
-    await anyio.sleep(for_s)
+    await anyio.sleep(duration_s)
     fleet.cut_off_from_store(False)
