--- a/mothstand/tests/test_feeds.py
+++ b/mothstand/tests/test_feeds.py
@@ -161,7 +161,7 @@
     def test_stale_second_hand_state_is_neither_used_nor_passed_on(self) -> None:
         """Guards against passing on to a starting instance that a draining upstream is ready.
 
-        A stale second-hand registration was not applied, but retained and returned by `raw_records`.
+        A stale second-hand registration was not applied, but `raw_records` returned it.
         """
         registrations = _Registrations()
         registrations.register("i-1", born_ms=1_000)
--- a/mothstand/tests/test_store_witness.py
+++ b/mothstand/tests/test_store_witness.py
@@ -1,4 +1,4 @@
-"""Whether the store was up while it did not answer here, as peers tell it."""
+"""Tests of peers as witnesses whether the store was up while one instance couldn't reach it."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 class _Peers(SilentPeers):
-    """Peers by address, each with its reader of registrations."""
+    """Peers by address, each with its feed of registrations."""
 
     def __init__(self) -> None:
         self.feeds: dict[str, UpstreamFeed] = {}
@@ -51,7 +51,7 @@
 
 
 class _Fleet:
-    """One instance that is cut off from the store, and peers that may be so too."""
+    """One instance that is cut off from the store, and peers that may be cut off too."""
 
     def __init__(self, *, peers: int, dead: int = 0) -> None:
         self.store = MemoryStore()
@@ -91,7 +91,7 @@
         )
 
     def used_after_cut(self, cut: Callable[[bool], None]) -> set[str]:
-        """Return the upstreams in use a second after a cut in which one's registration ended."""
+        """Return the upstreams in use 1 s after a cut during which `leaves` deregistered."""
 
         async def run() -> set[str]:
             async with anyio.create_task_group() as tasks:
@@ -122,10 +122,9 @@
 
 class TestPeerWitness:
     def test_upstream_that_left_while_a_peer_heard_the_store(self) -> None:
-        """Symptom: requests go to an upstream that left long ago, for seconds after a cut.
+        """Guards against requests to a deregistered upstream for seconds after a cut.
 
-        Sequence: an instance alone loses the store, an upstream's registration ends, the cut ends.
-        Cause: the instance could not tell its own cut from an outage, and asked nobody.
+        The instance could not distinguish its own cut from a store outage without asking peers.
         """
         fleet = _Fleet(peers=1)
         assert fleet.used_after_cut(fleet.cut_me) == {"stays"}
@@ -135,10 +134,10 @@
         assert fleet.used_after_cut(fleet.cut_me) == {"stays"}
 
     def test_outage_that_all_had(self) -> None:
-        """Symptom: after an outage of the store all requests are refused for up to two seconds.
+        """Guards against refusal of all requests for up to 2 s after a store outage.
 
-        Sequence: the store is away for all, registrations lapse, it comes back.
-        Cause: a peer that has just found the store again was taken for one that never lost it.
+        Registrations expired in the outage, and a peer that had just reconnected was considered to
+        have read the store throughout.
         """
         fleet = _Fleet(peers=3)
         assert fleet.used_after_cut(fleet.cut_all) == {"stays", "leaves"}
