--- a/mothstand/tests/test_store_witness.py
+++ b/mothstand/tests/test_store_witness.py
@@ -33,11 +33,11 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-_HERE = DataCentre("sto-a")
+_DATA_CENTRE = DataCentre("sto-a")
 _CUT_S = 10.0
 
 
-class _Peers(SilentPeers):
+class _FakePeers(SilentPeers):
     """Peers by address, each with its feed of registrations."""
 
     def __init__(self) -> None:
@@ -58,7 +58,7 @@
         self.clock = VirtualClock()
         self.link = StoreLink(self.store)
         self.peer_link = StoreLink(self.store)
-        calls = _Peers()
+        fake_peers = _FakePeers()
         members = MemberFeed(
             self.link,
             _member("me"),
@@ -71,9 +71,9 @@
         for number in range(peers + dead):
             members.fleet.apply_announcement(_member(f"peer-{number}"), 0.0)
         for number in range(peers):
-            calls.feeds[f"peer-{number}:1"] = self._feed(self.peer_link, NoWitness())
-        self.peers = list(calls.feeds.values())
-        self.feed = self._feed(self.link, PeerWitness(calls, members))
+            fake_peers.feeds[f"peer-{number}:1"] = self._feed(self.peer_link, NoWitness())
+        self.peer_feeds = list(fake_peers.feeds.values())
+        self.feed = self._feed(self.link, PeerWitness(fake_peers, members))
         for upstream_id in ("stays", "leaves"):
             entry = json.dumps(registration("llm", "10.0.0.1:80")).encode()
             self.store.put(UPSTREAMS_STREAM, upstream_id, entry)
@@ -95,7 +95,7 @@
 
         async def run() -> set[str]:
             async with anyio.create_task_group() as tasks:
-                for feed in (self.feed, *self.peers):
+                for feed in (self.feed, *self.peer_feeds):
                     tasks.start_soon(feed.run)
                 await anyio.sleep(1.0)
                 cut(True)
@@ -109,7 +109,7 @@
 
         return run_in_virtual_time(run)
 
-    def cut_me(self, is_cut: bool) -> None:
+    def cut_one(self, is_cut: bool) -> None:
         self.link.is_cut = is_cut
 
     def cut_all(self, is_cut: bool) -> None:
@@ -117,23 +117,23 @@
 
 
 def _member(name: str) -> Member:
-    return Member(Peer(name, f"{name}-1", f"{name}:1"), _HERE)
+    return Member(Peer(name, f"{name}-1", f"{name}:1"), _DATA_CENTRE)
 
 
 class TestPeerWitness:
-    def test_upstream_that_left_while_a_peer_heard_the_store(self) -> None:
+    def test_deregistered_upstream_is_dropped_if_a_peer_read_the_store(self) -> None:
         """Guards against requests to a deregistered upstream for seconds after a cut.
 
         The instance could not distinguish its own cut from a store outage without asking peers.
         """
         fleet = _Fleet(peers=1)
-        assert fleet.used_after_cut(fleet.cut_me) == {"stays"}
+        assert fleet.used_after_cut(fleet.cut_one) == {"stays"}
 
-    def test_dead_peers_beside_one_that_heard_the_store(self) -> None:
+    def test_deregistered_upstream_is_dropped_also_with_dead_peers(self) -> None:
         fleet = _Fleet(peers=1, dead=3)
-        assert fleet.used_after_cut(fleet.cut_me) == {"stays"}
+        assert fleet.used_after_cut(fleet.cut_one) == {"stays"}
 
-    def test_outage_that_all_had(self) -> None:
+    def test_upstreams_stay_in_use_after_an_outage_for_all_peers(self) -> None:
         """Guards against refusal of all requests for up to 2 s after a store outage.
 
         Registrations expired in the outage, and a peer that had just reconnected was considered to
@@ -142,17 +142,17 @@
         fleet = _Fleet(peers=3)
         assert fleet.used_after_cut(fleet.cut_all) == {"stays", "leaves"}
 
-    def test_no_peer_answers(self) -> None:
+    def test_upstreams_stay_in_use_if_no_peer_answers(self) -> None:
         fleet = _Fleet(peers=0, dead=4)
-        assert fleet.used_after_cut(fleet.cut_me) == {"stays", "leaves"}
+        assert fleet.used_after_cut(fleet.cut_one) == {"stays", "leaves"}
 
 
 class TestGrpcPeerLink:
-    def test_how_long_a_peer_has_followed_the_registrations(self) -> None:
+    def test_returns_the_gapless_seconds_of_a_peer(self) -> None:
         async def run() -> float:
             address = f"127.0.0.1:{free_port()}"
             service = LendingService(
-                _no_loan, lambda _: None, _nothing_known, lambda: 12.5, lambda _: None
+                _no_loan, lambda _: None, _empty_state, lambda: 12.5, lambda _: None
             )
             server = await serve_peers(service, address)
             link = GrpcPeerLink()
@@ -170,5 +170,5 @@
     return LoanReply(0, 0)
 
 
-def _nothing_known() -> BootstrapState:
+def _empty_state() -> BootstrapState:
     return BootstrapState(b"", (), ())
