--- a/mothstand/gateway/accounts.py
+++ b/mothstand/gateway/accounts.py
@@ -30,28 +30,28 @@
     from .member_feed import MemberFeed
     from .store import Store
 
-#: Longest wait of a request for tokens: several calm rounds of the store or of all peers, and
-#: within the shortest usual objective of a stream.
+#: Maximum wait of a request for tokens. Covers several round trips to the store or to all peers
+#: without load, and is below the shortest usual latency objective of a stream.
 TOKENS_WAIT_S = 0.3
 
-#: Longest wait of a lender for the store: several calm rounds, and well within the time after
-#: which the borrower takes the lender for silent.
+#: Maximum wait of a lender for the store. Covers several round trips without load, and is well
+#: below the time after which the borrower considers the lender unresponsive.
 _CLAIM_FOR_BORROWER_S = 0.12
 
-#: Of a stop's end, kept to leave to a peer what could not be given back: a few calls of
-#: milliseconds.
+#: Time reserved at the end of a stop to hand over to a peer what could not be given back: a few
+#: calls of milliseconds each.
 _HANDOVER_RESERVE_S = 0.3
 
-#: Until an instance that stops has a successor. So long before its claims unlock, that one can
-#: still prove what was not spent of them; later, nobody can.
+#: Time until the successor of a stopped instance runs. If the claims unlock later than that, the
+#: successor can still prove which part of them was not spent; after the unlock nobody can.
 _RESTART_S = 1.5
 
-#: Until tokens that lie elsewhere have moved, or running requests have given back their rest.
+#: Time in which tokens move from other instances, or running requests release unused tokens.
 _RETRY_AFTER_S = 0.6
 
 
 class BudgetShard:
-    """The budgets of one shard: who waits for tokens, and where they may come from."""
+    """Reserves tokens of one shard's budgets, from claims or from loans of peers."""
 
     def __init__(
         self,
@@ -90,7 +90,7 @@
         )
 
     def _claimant_count(self) -> int:
-        """Return how many instances claim here, 0 unless this one is known to be one."""
+        """Return the number of claimants of the shard, 0 unless this instance is one of them."""
         fleet = self._members.fleet
         if not (self._members.is_settled and fleet.is_claimant(self._shard)):
             return 0
@@ -99,7 +99,7 @@
     async def reserve(
         self, budget: BudgetName, tokens: int, priority: int, wait_s: float, tasks: TaskGroup
     ) -> Reservation | None:
-        """Set tokens aside, waiting for a claim or a loan while there is hope of one."""
+        """Reserve tokens, waiting up to `wait_s` for a claim or a loan that may provide them."""
         manager = self.claim_manager
         manager.demand_for(budget).add_request(tokens, priority, self._clock.monotonic_s())
         reservation = self._try_reserve(budget, tokens, priority)
@@ -118,24 +118,25 @@
         return reservation
 
     async def lend(self, request: LoanRequest) -> LoanReply:
-        """Give tokens to a peer; for one that does not claim, claim what is missing first."""
+        """Lend tokens to a peer; if the peer does not claim itself, claim missing tokens first."""
         manager, budget, tokens = self.claim_manager, request.budget, request.needed_tokens
         if manager.is_claimant and request.borrows_only:
             manager.demand_for(budget).add_request(
                 tokens, request.priority, self._clock.monotonic_s()
             )
         elif manager.is_claimant:
-            # One that claims itself has found nothing free: what is held here is all there is.
+            # A borrower that claims has found nothing free in the store, so only tokens held by
+            # this instance can be lent.
             tokens = min(tokens, manager.claims.held_budget(budget).held_tokens)
         if manager.is_claimant and not self._has_available(budget, tokens, request.priority):
             await self._claim_for_borrower(budget, tokens, request.priority)
         return self.borrower.lend(request)
 
     async def _claim_for_borrower(self, budget: BudgetName, tokens: int, priority: int) -> None:
-        """Wait for a look at the store on behalf of a borrower.
+        """Wait for a poll of the store on behalf of a borrower.
 
-        Without it a lender in touch with the store gives no more than its base, and at a budget's
-        end requests are refused for want of tokens that others hold past theirs.
+        Otherwise a lender that reaches the store lends at most its base, and near a budget's end
+        requests are refused although other instances hold tokens beyond their bases.
         """
         if not self.claim_manager.can_serve_from_store(budget):
             return
@@ -158,7 +159,7 @@
         )
 
     def _request_poll(self) -> Callable[[], bool]:
-        """Ask for a look at the store that begins after now; return what tells its end."""
+        """Request a new poll of the store; return a function that tests whether it is over."""
         began_s = self._clock.monotonic_s()
         self.claim_manager.wake()
         return lambda: self.claim_manager.polled_s >= began_s or self._health.is_failing
@@ -166,15 +167,15 @@
     async def _wait_for_poll(
         self, budget: BudgetName, tokens: int, priority: int
     ) -> Reservation | None:
-        """Wait for a look at the store that began after now."""
+        """Wait for a poll of the store that begins after this call."""
         return await self._wait_for_tokens(budget, tokens, priority, self._request_poll())
 
     async def _wait_for_loans(
         self, budget: BudgetName, tokens: int, priority: int, tasks: TaskGroup
     ) -> Reservation | None:
-        """Wait for a round of loans that began after now.
+        """Wait for a round of loans that begins after this call.
 
-        A round that is under way may have asked its peers already, for less than now waits.
+        A round that is already running may have asked its peers for less than is needed now.
         """
 
         def is_over() -> bool:
@@ -204,11 +205,11 @@
         )
 
     def is_exhausted(self, budget: BudgetName, tokens: int) -> bool:
-        """Return whether a request surely does not fit any more.
+        """Return whether a request cannot fit into the budget without a top-up.
 
-        What holders have surely spent only grows, so a request that does not fit into what is left
-        of it never will, short of a top-up. What others merely hold may come back, and what is in
-        doubt may not have been consumed: neither makes a budget used up.
+        Confirmed spend only grows, so a request that exceeds the remainder never fits. Tokens held
+        by other instances may be returned, and uncertain tokens may not have been consumed:
+        neither makes a budget exhausted.
         """
         manager = self.claim_manager
         spent = self.borrower.spent_tokens(budget)
@@ -217,7 +218,7 @@
         return tokens > manager.prepaid().get(budget, 0) - spent
 
     def retry_after_s(self) -> float:
-        """Return when a request that got no tokens should come back."""
+        """Return the seconds after which a request that got no tokens should be retried."""
         if self._health.is_failing:
             return max(_RETRY_AFTER_S, self.claim_manager.unlocks_in_s())
         return _RETRY_AFTER_S
@@ -229,7 +230,7 @@
 
 
 class Accounts:
-    """All budgets of one instance, spread over shards."""
+    """Reserves, settles and lends tokens of all budgets of one instance, by shard."""
 
     def __init__(
         self,
@@ -267,7 +268,7 @@
         ]
 
     async def run(self) -> None:
-        """Keep claims filled until cancelled."""
+        """Update claims, retry unconfirmed loans and give back unused tokens until cancelled."""
         try:
             async with anyio.create_task_group() as tasks:
                 self._tasks = tasks
@@ -282,17 +283,17 @@
             self._tasks = None
 
     def begin_stopping(self) -> None:
-        """Give back what is held beyond the running requests, when no more are taken on."""
+        """Start to give back tokens that running requests don't need; no more are accepted."""
         for shard in self.shards:
             shard.claim_manager.begin_stopping()
 
     async def stop(self, *, until_s: float) -> None:
-        """Give back what is not used, at a stop, and leave to a peer what cannot be given back.
+        """Give back unused tokens at a stop; hand over to a peer what cannot be given back.
 
         Parameters
         ----------
         until_s
-            When that must be over, on the monotonic clock.
+            Deadline on the monotonic clock.
         """
         began_s = self._clock.monotonic_s()
         with anyio.move_on_after(until_s - _HANDOVER_RESERVE_S - began_s) as giving_back:
@@ -307,18 +308,18 @@
                 await shard.borrower.hand_over()
 
     async def _wait_for_unlock(self, until_s: float) -> None:
-        """Wait for claims that unlock soon: past its window no peer gets what is left of them."""
+        """Wait for claims that unlock soon: until then no peer can get the tokens past a window."""
         unlocks_in_s = max(shard.claim_manager.unlocks_in_s() for shard in self.shards)
         ends_s = self._clock.monotonic_s() + unlocks_in_s
         if self._health.is_failing and unlocks_in_s <= _RESTART_S and ends_s <= until_s:
             await self._clock.sleep(unlocks_in_s)
 
     def take_over(self, handover: Handover) -> None:
-        """Take the tokens of a peer that stops."""
+        """Add tokens that a peer hands over."""
         self.shard_of(handover.budget).borrower.take_over(handover)
 
     def unused_tokens(self) -> dict[BudgetName, int]:
-        """Return what is claimed and not used, of the budgets with any."""
+        """Return the claimed and unused tokens of each budget that has some."""
         held = (
             held
             for shard in self.shards
@@ -333,11 +334,12 @@
     async def reserve(
         self, budget: BudgetName, tokens: int, priority: int, remaining_s: float
     ) -> Reservation | Refusal:
-        """Set a request's upper bound aside, or say truthfully why not."""
+        """Reserve a request's upper bound, or return the reason for the refusal."""
         shard = self.shard_of(budget)
         wait_s = min(TOKENS_WAIT_S, remaining_s / 3)
         if self._tasks is None:
-            # At a stop the last requests of kept connections arrive after the claims' tasks ended.
+            # During a stop, requests on persistent connections may arrive after the claim tasks
+            # have ended.
             return Refusal(ErrorKind.STOPPING, retry_after_s=STOPPING_RETRY_AFTER_S)
         reservation = await shard.reserve(budget, tokens, priority, wait_s, self._tasks)
         if reservation is not None:
@@ -350,17 +352,17 @@
         return Refusal(ErrorKind.BUDGET_OUT_OF_REACH, detail, retry_after_s=retry_after_s)
 
     def settle(self, reservation: Reservation, usage: Usage) -> None:
-        """End a reservation with what its request consumed."""
+        """End a reservation with the tokens that its request consumed."""
         shard = self.shard_of(reservation.budget)
         shard.claim_manager.settle(reservation, usage)
         shard.wake_waiting()
 
     async def lend(self, request: LoanRequest) -> LoanReply:
-        """Give tokens to a peer."""
+        """Lend tokens to a peer."""
         return await self.shard_of(request.budget).lend(request)
 
     def poll(self) -> None:
-        """Look at the claims now: a top-up, a new budget, or another role may be in force."""
+        """Request a poll of all claims: a top-up, a new budget or another role may be in force."""
         for shard in self.shards:
             shard.claim_manager.wake()
 
--- a/mothstand/gateway/borrowing.py
+++ b/mothstand/gateway/borrowing.py
@@ -1,4 +1,4 @@
-"""Borrows tokens from other instances when what is held here does not do."""
+"""Borrows tokens from other instances when this one holds too few, and lends to them."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
     from ..types import BudgetName
     from .claim_manager import ClaimManager
 
-#: Seconds of one's own demand that are asked for on top of what waits.
+#: Seconds of this instance's demand that are requested in addition to waiting requests.
 _EXTRA_DEMAND_S = 2.0
 
-#: A loan whose answer was lost is asked for again for this long; after that its tokens stay with
-#: nobody, which costs them but overspends nothing.
+#: A loan whose answer was lost is requested again for this long. After that its tokens are lost,
+#: which overspends nothing.
 _RETRY_UNCONFIRMED_S = 30.0
 
 
 @dataclass(frozen=True, slots=True)
 class _UnconfirmedLoan:
-    """A loan without an answer: the peer may have taken the tokens out."""
+    """Loan without an answer: the peer may have deducted the tokens."""
 
     peer: Peer
     request: LoanRequest
@@ -38,7 +38,7 @@
 
 
 class Borrower:
-    """Asks peers for tokens of the budgets of one keeper, one round at a time for each."""
+    """Borrows tokens of one shard's budgets, one round at a time per budget and priority."""
 
     def __init__(
         self,
@@ -60,15 +60,15 @@
         self._unconfirmed_loans: list[_UnconfirmedLoan] = []
 
     def is_round_running(self, budget: BudgetName, priority: int) -> bool:
-        """Return whether a round for requests of a priority is under way."""
+        """Return whether a round for requests of a priority is running."""
         return (budget, priority) in self._running_rounds
 
     def spent_tokens(self, budget: BudgetName) -> int:
-        """Return what lenders said to be surely spent of a budget."""
+        """Return the confirmed spend of a budget, as reported by lenders."""
         return self._spent_tokens.get(budget, 0)
 
     def lend(self, request: LoanRequest) -> LoanReply:
-        """Give tokens to a peer, from what is held."""
+        """Lend tokens that this instance holds to a peer."""
         self._claim_manager.update_opening()
         self._claim_manager.claims.held_budget(
             request.budget
@@ -81,7 +81,7 @@
             extra_tokens=request.extra_tokens,
         )
         emit(Event.TOKENS_LENT, budget=request.budget, tokens=given_tokens, loan=request.loan_id)
-        # Who got all needs no others.
+        # A borrower that got everything asks no other peers.
         named_holdings = (
             None
             if given_tokens >= request.needed_tokens
@@ -92,7 +92,7 @@
         )
 
     def take_over(self, handover: Handover) -> None:
-        """Take tokens that a peer leaves: it stops, or has only borrowed them."""
+        """Add tokens handed over by a peer that stops or returns a loan."""
         held = self._claim_manager.claims.held_budget(handover.budget)
         received_tokens = self.loans.take_over(held, handover.loan_id, handover.tokens)
         emit(
@@ -104,12 +104,12 @@
         self._on_change()
 
     async def hand_over(self) -> None:
-        """Leave all that may be spent to a peer that answers, at a stop without the store.
+        """Hand over all available tokens to a responsive peer, at a stop without the store.
 
-        What a stopped instance holds is lost to all callers: it cannot lower its claims, and once
-        it has been out of touch for long enough to spend them whole, nobody can prove later that
-        it did not. Of a rolling stop of six in an outage of eight seconds 13 to 17 % of a budget
-        stayed unspent to the day's end, while every request was refused.
+        Otherwise they are lost to all callers: the instance cannot lower its claims, and once they
+        have unlocked nobody can prove that it did not spend them. After a rolling stop of six
+        instances in an outage of 8 s, 13 to 17 % of a budget stayed unspent while every request
+        was refused.
         """
         self._claim_manager.update_opening()
         spare = [
@@ -123,11 +123,10 @@
             await self._send_handover(peer, handover)
 
     async def give_back_unused(self) -> None:
-        """Give lenders back what requests here have left over, where this instance only borrows.
+        """Give unused borrowed tokens back to a lender, unless this instance claims.
 
-        Each request borrows what it may use at most, and mostly uses less. Left where it is, the
-        rest waits for the next request of that workspace here: a good part of a budget near its end
-        lay so in a large fleet, while every other request was refused.
+        A request borrows its maximum and mostly uses less. The unused tokens of many borrowers
+        added up to a good part of a budget near its end, while every other request was refused.
         """
         if self._claim_manager.is_claimant:
             return
@@ -138,25 +137,24 @@
             await self._send_handover(lenders[0], handover)
 
     def _unused_handovers(self) -> list[Handover]:
-        """Return what can be given back of each budget."""
-        # What is claimed is given back through the store.
+        """Return a handover for each budget with tokens to give back."""
+        # Claimed tokens are given back through the store.
         borrowed = [
             h for h in self._claim_manager.claims.held_budgets.values() if not h.limit_tokens
         ]
         return [
             Handover(held.budget, held.available_tokens, uuid.uuid4().hex)
             for held in borrowed
-            # What was borrowed piece by piece for a request that still waits is no rest.
+            # Tokens that were borrowed in parts for a waiting request are needed by it.
             if held.available_tokens > 0
             and not self._claim_manager.waiting_tokens_by_priority(held.budget).total()
         ]
 
     async def _send_handover(self, peer: Peer, handover: Handover) -> None:
-        """Take tokens out and hand them over, once.
+        """Deduct tokens and hand them over, once.
 
-        Without an answer they are nobody's. Sent again they might meet a later start of the peer,
-        which knows no ids of the one before: what that one had added and spent would be added once
-        more.
+        Without an answer they are lost. If they were sent again, a restarted peer, which knows no
+        earlier loan ids, could add a second time what it had added and spent before.
         """
         held = self._claim_manager.claims.held_budget(handover.budget)
         sent = replace(handover, tokens=held.give(handover.tokens))
@@ -168,7 +166,8 @@
             return
         except PeerError as error:
             self._suspect(peer, error)
-        # Told also without an answer: no line of the peer's with this loan says that they are lost.
+        # Logged without an answer too: if the peer logged no line with this loan id, the tokens
+        # are lost.
         emit(
             Event.TOKENS_HANDED_OVER,
             holder=self._claim_manager.claims.holder,
@@ -179,15 +178,15 @@
         )
 
     def _suspect(self, peer: Peer, error: PeerError) -> None:
-        """Ask a peer that did not answer nothing for a while."""
+        """Send no requests for a while to a peer that did not answer."""
         self._peer_choice.mark_unresponsive(peer, self._clock.monotonic_s())
         emit(Event.PEER_SUSPECTED, peer=peer.instance, error=str(error))
 
     async def _find_responsive_peer(self) -> Peer | None:
-        """Return the first lender that answers: what is left to a dead one is lost."""
+        """Return the first lender that answers: tokens handed over to a dead one are lost."""
         for peer in self._lenders():
             try:
-                # Any call tells; this one moves nothing.
+                # Any call shows whether the peer answers; this one moves no tokens.
                 await self._link.registrations_gapless_s(peer.address)
             except PeerError as error:
                 self._suspect(peer, error)
@@ -196,14 +195,14 @@
         return None
 
     def begin_round(self, budget: BudgetName, priority: int, tasks: TaskGroup) -> None:
-        """Start a round unless one is under way."""
+        """Start a round unless one is running."""
         if self.is_round_running(budget, priority):
             return
         self._running_rounds.add((budget, priority))
         tasks.start_soon(self._run_round, budget, priority)
 
     async def _run_round(self, budget: BudgetName, priority: int) -> None:
-        """Ask one peer after the other until what waits can be served."""
+        """Ask one peer after another until the waiting requests can be served."""
         try:
             now_s = self._clock.monotonic_s()
             table = self._claim_manager.claims.table
@@ -219,7 +218,7 @@
             self._on_change()
 
     async def retry_unconfirmed(self) -> None:
-        """Ask for the loans whose answers were lost."""
+        """Repeat the requests for loans whose answers were lost."""
         unconfirmed, self._unconfirmed_loans = self._unconfirmed_loans, []
         for loan in unconfirmed:
             if loan.until_s > self._clock.monotonic_s():
@@ -232,15 +231,15 @@
     async def _request_loan(
         self, peer: Peer, budget: BudgetName, priority: int, missing_tokens: int
     ) -> tuple[Holding, ...] | None:
-        """Ask a peer for a loan; return who else holds some, if it said so."""
+        """Ask a peer for a loan; return the holdings of other instances if it reported them."""
         now_s = self._clock.monotonic_s()
         loan_id = uuid.uuid4().hex
         if self._claim_manager.is_claimant:
             extra_tokens = self._extra_tokens(budget, now_s)
             request = LoanRequest(budget, priority, missing_tokens, extra_tokens, loan_id)
         else:
-            # No more than what waits: the rests of some 60 borrowers of each budget add up to
-            # what its last callers are refused.
+            # No extra tokens: unused tokens of some 60 borrowers of a budget would add up to the
+            # requests that are refused near its end.
             spent_tokens = self._pop_unreported_tokens(budget)
             request = LoanRequest(budget, priority, missing_tokens, 0, loan_id, True, spent_tokens)
         reply = await self._borrow_from(peer, request, now_s + _RETRY_UNCONFIRMED_S)
@@ -251,10 +250,10 @@
         return reply.holdings
 
     def _extra_tokens(self, budget: BudgetName, now_s: float) -> int:
-        """Return what is welcome on top of what waits.
+        """Return the tokens to request in addition to waiting requests.
 
-        In touch with the store nothing: loans are asked for there only when all is claimed, and
-        what one has borrowed and not spent at its death is lost to everyone.
+        Zero while the store is reachable: loans are then requested only when everything is
+        claimed, and borrowed tokens that are unspent when an instance dies are lost.
         """
         if not self._claim_manager.is_cut_off:
             return 0
@@ -263,10 +262,10 @@
         )
 
     def _pop_unreported_tokens(self, budget: BudgetName) -> int:
-        """Return what is still to be told as spent. Should the call fail it is never told.
+        """Return and reset the unreported spend; a failed loan request never reports it again.
 
-        Told twice it would make a lender believe that a budget is used up which is not, and refuse
-        for good what was paid for; told never, a request at the end is asked to come back.
+        Spend that is reported twice could make a lender refuse paid requests for good, as if the
+        budget were exhausted. Unreported spend only makes the last requests be retried later.
         """
         held = self._claim_manager.claims.held_budget(budget)
         unreported_tokens, held.unreported_borrowed_tokens = held.unreported_borrowed_tokens, 0
--- a/mothstand/tests/test_bootstrap.py
+++ b/mothstand/tests/test_bootstrap.py
@@ -1,4 +1,4 @@
-"""A process that starts while the store is away, and what its peers tell it."""
+"""Tests of an instance that starts in a store outage and gets its state from peers."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
 
 
 class _FakePeers(SilentPeers):
-    """Peers by address; who is not there does not answer."""
+    """Peers by address; other addresses do not answer."""
 
     def __init__(self, states: dict[str, BootstrapState]) -> None:
         self.asked_addresses: list[str] = []
@@ -65,7 +65,7 @@
 
 
 class _StartingInstance:
-    """A process that has just started, with its way to the store cut."""
+    """An instance that has just started and is cut off from the store."""
 
     def __init__(self, peers: dict[str, BootstrapState], seeds: tuple[str, ...]) -> None:
         clock = VirtualClock()
@@ -115,10 +115,9 @@
 
 class TestBootstrap:
     def test_start_in_a_store_outage_uses_the_state_of_a_seed(self) -> None:
-        """Symptom: an instance that is restarted in an outage refuses all until its end.
+        """Guards against an instance that refuses all requests if restarted in a store outage.
 
-        Sequence: the store is away, the process starts, its seed runs.
-        Cause: configuration, upstreams and lenders were asked of the store only.
+        Configuration, upstreams and lenders were read from the store only.
         """
         starting = _StartingInstance({"b:1": bootstrap_state(7)}, ("a:1", "b:1"))
         run_in_virtual_time(lambda: starting.run(3.0))
@@ -138,10 +137,9 @@
         assert "a:1" not in starting.peers.asked_addresses
 
     def test_older_configuration_of_a_peer_does_not_replace_a_newer_one(self) -> None:
-        """Symptom: a dropped route is served again.
+        """Guards against a removed route that is served again.
 
-        Sequence: the store answers with a version; then a peer tells an older one.
-        Cause: the peer's word replaced the store's.
+        A peer's older configuration replaced the one from the store.
         """
         starting = _StartingInstance({}, ())
         starting.config.apply_second_hand(
@@ -152,11 +150,10 @@
         assert starting.config.config.version == 9
 
     def test_second_hand_members_are_ignored_after_a_store_read(self) -> None:
-        """Symptom: an instance asks dead claimants for tokens, and its callers wait for them.
+        """Guards against loan requests to dead claimants, for which callers wait.
 
-        Sequence: an instance starts and reads the fleet from the store, not yet the configuration;
-        it asks a peer that has been cut off, which still knows instances that have gone.
-        Cause: what peers tell was taken whether or not the store had spoken.
+        An instance read the members from the store but not yet the configuration, asked a peer that
+        was cut off, and applied that peer's expired members.
         """
         starting = _StartingInstance({}, ())
         starting.link.is_cut = False
