--- a/mothstand/entry/heartbeats.py
+++ b/mothstand/entry/heartbeats.py
@@ -126,7 +126,7 @@
             self._note_silence(peer)
             return
         now_s = self._clock.monotonic_s()
-        new = self._membership.note_response(result.member, leaving=result.leaving, now_s=now_s)
+        new = self._membership.note_response(result.member, is_stopping=result.leaving, now_s=now_s)
         if new:
             self._suspected.discard(peer.name)
             emit(Event.PEER_SEEN, peer=peer.name, incarnation=result.member.incarnation)
--- a/mothstand/gateway/call.py
+++ b/mothstand/gateway/call.py
@@ -121,7 +121,7 @@
         return self._digest
 
     @property
-    def reported_attempts(self) -> str:
+    def attempts_summary(self) -> str:
         """Summary of the attempts, for the log line of a refusal."""
         tried = (
             f"{len(self.tried_upstreams)} tried, {self.sent_attempts} sent, {self.refusals} refused"
--- a/mothstand/gateway/feeds.py
+++ b/mothstand/gateway/feeds.py
@@ -182,9 +182,9 @@
         """Apply later records, in order."""
         for record in records:
             if record.key == self._key and record.value is not None:
-                self.apply_second_hand(record)
+                self.apply_record(record)
 
-    def apply_second_hand(self, record: KeyedRecord) -> None:
+    def apply_record(self, record: KeyedRecord) -> None:
         """Apply a configuration if it is valid and newer than the current one."""
         raw = record.value or b""
         try:
--- a/mothstand/gateway/store_witness.py
+++ b/mothstand/gateway/store_witness.py
@@ -25,7 +25,7 @@
     """Determines whether the store was up while this instance could not reach it."""
 
     @abstractmethod
-    async def read_without_gap(self, gap_s: float) -> bool:
+    async def has_read_without_gap(self, gap_s: float) -> bool:
         """Return whether a peer could read the registrations throughout the last `gap_s` seconds.
 
         Also False if it is not known.
@@ -39,7 +39,7 @@
         self._link = link
         self._members = members
 
-    async def read_without_gap(self, gap_s: float) -> bool:
+    async def has_read_without_gap(self, gap_s: float) -> bool:
         """Return whether an asked peer read the registrations for the last `gap_s` seconds."""
         peers = [member.peer for member in self._members.fleet.other_members()]
         found = False
--- a/mothstand/testing/fakes.py
+++ b/mothstand/testing/fakes.py
@@ -35,7 +35,7 @@
 class NoWitness(StoreWitness):
     """Nobody who could tell whether the store was up."""
 
-    async def read_without_gap(self, gap_s: float) -> bool:
+    async def has_read_without_gap(self, gap_s: float) -> bool:
         """Return False: it may have been away."""
         return False
 
@@ -116,8 +116,8 @@
 class FakeMembership(Membership):
     """Membership whose beliefs a test sets; it may be wrong in every way."""
 
-    def __init__(self, me: Member, data_centre: DataCentre) -> None:
-        super().__init__(me, data_centre, suspect_after_s=1.0)
+    def __init__(self, local_member: Member, data_centre: DataCentre) -> None:
+        super().__init__(local_member, data_centre, suspect_after_s=1.0)
         self.believed_alive: dict[str, Member] = {}
         self.believed_elsewhere: dict[str, Member] = {}
 
--- a/mothstand/testing/histories.py
+++ b/mothstand/testing/histories.py
@@ -40,7 +40,7 @@
 
 SHARD = Shard(0)
 BUDGET = BudgetName("lund")
-PLACES = (DataCentre("sto-a"), DataCentre("sto-b"))
+DATA_CENTRES = (DataCentre("sto-a"), DataCentre("sto-b"))
 _MOST_BOUND_TOKENS = 40
 _TOP_UP_TOKENS = 200
 
@@ -105,7 +105,7 @@
         self.used_tokens = 0
         self.spent_tokens: dict[Epoch, int] = {}
         self.running: dict[str, Running] = {}
-        self.places = {f"{place}-{i}": place for place in PLACES for i in range(per_place)}
+        self.places = {f"{place}-{i}": place for place in DATA_CENTRES for i in range(per_place)}
         self.config = FleetConfig(escrow=EscrowPolicy(allowance_percent=10, promotion_percent=30))
         self.processes = {name: self._start(name, 1) for name in self.places}
         self._incarnations = dict.fromkeys(self.places, 1)
@@ -372,7 +372,7 @@
             timing=TimingSection.model_validate({}),
             config=lambda: self.config,
             log_silent_s=silent_s,
-            data_centres=lambda: len(PLACES),
+            data_centres=lambda: len(DATA_CENTRES),
         )
         node = ShardNode(SHARD, writer, context, _no_bill)  # type: ignore[arg-type]
         node.state.fold = self._make_fold()
--- a/mothstand/tests/test_bootstrap.py
+++ b/mothstand/tests/test_bootstrap.py
@@ -142,10 +142,8 @@
         A peer's older configuration replaced the one from the store.
         """
         starting = _StartingInstance({}, ())
-        starting.config.apply_second_hand(
-            KeyedRecord(CONFIG_KEY, json.dumps({"version": 9}).encode())
-        )
-        starting.config.apply_second_hand(KeyedRecord("", bootstrap_state(7).config))
+        starting.config.apply_record(KeyedRecord(CONFIG_KEY, json.dumps({"version": 9}).encode()))
+        starting.config.apply_record(KeyedRecord("", bootstrap_state(7).config))
         assert starting.config.config is not None
         assert starting.config.config.version == 9
 
