--- a/mothstand/tests/test_bootstrap.py
+++ b/mothstand/tests/test_bootstrap.py
@@ -25,7 +25,7 @@
     decode_config,
     decode_upstream,
 )
-from ..testing.fakes import RETRIES, NoWitness, SilentPeers
+from ..testing.fakes import RETRIES, NoWitness, UnreachablePeers
 from ..testing.memory_store import MemoryStore, StoreLink
 from ..testing.registrations import registration
 from ..testing.virtual_time import VirtualClock, run_in_virtual_time
@@ -50,7 +50,7 @@
     )
 
 
-class _FakePeers(SilentPeers):
+class _FakePeers(UnreachablePeers):
     """Peers by address; other addresses do not answer."""
 
     def __init__(self, states: dict[str, BootstrapState]) -> None:
@@ -71,7 +71,7 @@
         clock = VirtualClock()
         health = PlatformHealth(clock)
         self.link = StoreLink(MemoryStore())
-        self.link.is_cut = True
+        self.link.is_cut_off = True
         self.peers = _FakePeers(peers)
         self.config = ConfigFeed(
             self.link, CONFIG_STREAM, CONFIG_KEY, clock, health, decode_config, lambda _: None
@@ -154,7 +154,7 @@
         was cut off, and applied that peer's expired members.
         """
         starting = _StartingInstance({}, ())
-        starting.link.is_cut = False
+        starting.link.is_cut_off = False
 
         async def run() -> None:
             await starting.members.poll()
