--- a/mothstand/entry/__init__.py
+++ b/mothstand/entry/__init__.py
@@ -1,1 +1,1 @@
-"""What callers and operators reach over HTTP, and the composition of one instance."""
+"""HTTP endpoints for callers and operators, and the composition of an instance."""
--- a/mothstand/entry/answers.py
+++ b/mothstand/entry/answers.py
@@ -1,4 +1,4 @@
-"""Refusals as HTTP answers."""
+"""Refusals as HTTP answers, and the sending of complete answers."""
 
 from __future__ import annotations
 
@@ -28,10 +28,10 @@
 
 
 def refusal_headers(refusal: Refusal) -> dict[str, str]:
-    """Return the headers of a refusal: when to come back, and whether that is safe."""
+    """Return the headers of a refusal, which say whether and when to retry."""
     headers = {"content-type": "application/json"}
     if refusal.effective_retry_after_s is None:
-        # Client libraries repeat requests on 5xx by themselves unless told not to.
+        # Client libraries retry on 5xx by themselves unless this header forbids it.
         headers["x-should-retry"] = "false"
     else:
         headers["retry-after"] = f"{refusal.effective_retry_after_s:g}"
@@ -39,7 +39,7 @@
 
 
 def refusal_event(refusal: Refusal) -> bytes:
-    """Return the event that ends a stream which cannot be completed; no end marker follows."""
+    """Return the event that ends a stream that cannot be completed; no end marker follows."""
     return b"data: " + refusal_body(refusal) + b"\n\n"
 
 
--- a/mothstand/entry/app.py
+++ b/mothstand/entry/app.py
@@ -32,7 +32,7 @@
     from .context import EntryContext
     from .intents import IntentClaims
 
-#: Says that another instance passed the request on, so that it is not passed on again.
+#: Marks a request that another instance forwarded, so that it is not forwarded again.
 FORWARDED_HEADER = "x-mothstand-forwarded"
 _MOST_KEY_CHARACTERS = 255
 
@@ -41,11 +41,11 @@
     """A parsed request that can be run."""
 
     async def run(self, sink: AnswerSink) -> None:
-        """Run it."""
+        """Run the request and send its answer to `sink`."""
 
 
 class Endpoint(ABC):
-    """Common course of a caller's request: admit, read, identify, run or join, answer."""
+    """Common steps of a caller's request: admit, read, identify, run or join, answer."""
 
     def __init__(self, context: EntryContext, claims: IntentClaims) -> None:
         self._context = context
@@ -53,7 +53,7 @@
         self._forward = httpx.AsyncClient(timeout=httpx.Timeout(60.0, connect=1.0), trust_env=False)
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Serve one request; every way out is an answer."""
+        """Serve one request; errors are answered too."""
         request = Request(scope, receive)
         activity = self._context.activity
         activity.running += 1
@@ -141,14 +141,14 @@
         await self._serve_keyed(request, taken, send)
 
     async def _serve_keyed(self, request: Request, taken: CallerRequest, send: Send) -> None:
-        """Run apart from the caller's connection, so that a retry can join the answer."""
+        """Run independently of the caller's connection, so that a retry can join the answer."""
         run = self.make_run(request, taken)
         kept = self._context.answers.open(taken.request_id, taken.body_digest)
         known: list[KnownKey] = []
 
         async def produce() -> None:
             keeping = KeepingSink(kept)
-            # Its caller may have gone, but a stop waits for it all the same.
+            # A stop waits for the run even if its caller has disconnected.
             self._context.activity.running += 1
             try:
                 await run.run(keeping)
@@ -157,7 +157,7 @@
                 self._context.answers.drop(taken.request_id)
                 await keeping.end()
             except RefusedError as error:
-                # Not kept: the same key may be tried again, except where it may have run.
+                # Not retained: the key may be used again, unless the request may have run.
                 self._context.answers.drop(taken.request_id)
                 await self._keep_refusal(keeping, error.refusal)
             except Exception as error:
@@ -190,7 +190,7 @@
     async def _join_elsewhere(
         self, request: Request, taken: CallerRequest, known: KnownKey | None, send: Send
     ) -> None:
-        """Pass a retry on to the instance that runs or ran its key."""
+        """Forward a retry to the instance that runs or ran its key."""
         address = "" if known is None else self._context.owner_of(known)
         here = self._context.membership.local_member.callers_address
         if known is None or not address or address == here or taken.forwarded:
@@ -231,7 +231,7 @@
         emit(Event.REQUEST_REFUSED, kind=refusal.kind.value, detail=refusal.detail)
 
 
-#: Pseudo status of a kept answer that is another instance's to give.
+#: Pseudo status of a retained answer that another instance has.
 ANSWERED_ELSEWHERE = -1
 
 _PASSED_HEADERS = frozenset(
@@ -246,7 +246,7 @@
 
 
 async def _until_disconnect(request: Request, run: Run, sink: AnswerSink) -> None:
-    """Run a request; cancel it, down to the upstream's connection, when its caller goes away."""
+    """Run a request; cancel it and its upstream connection if its caller disconnects."""
     refused: RefusedError | None = None
     async with anyio.create_task_group() as tasks:
 
--- a/mothstand/entry/budgeted.py
+++ b/mothstand/entry/budgeted.py
@@ -1,4 +1,4 @@
-"""Runs one request inside a reservation and bills it once, however it ends."""
+"""Runs one request within a reservation and bills it once, however it ends."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
 
 _T = TypeVar("_T")
 
-#: Upstreams that one request tries at most: retries must not multiply an overload.
+#: Maximum number of upstreams that one request tries: retries must not multiply an overload.
 MOST_ATTEMPTS = 3
 
 
 class KnownKeyError(Exception):
-    """The request's key has come before."""
+    """The request's idempotency key is already in use."""
 
     def __init__(self, known: KnownKey) -> None:
         super().__init__(known.owner)
@@ -40,7 +40,7 @@
 
 @dataclass(slots=True)
 class Charge:
-    """A reservation in use; `used_tokens` is what is billed when it ends."""
+    """A reservation in use; `used_tokens` is billed when the request ends."""
 
     ticket: Ticket
     bound_tokens: int
@@ -60,7 +60,7 @@
     RefusedError
         On entry, if the budget does not cover the request.
     KnownKeyError
-        On entry, if the request's key has come before.
+        On entry, if the request's key is already in use.
     """
 
     def __init__(self, context: EntryContext, request: CallerRequest, bound_tokens: int) -> None:
@@ -93,7 +93,7 @@
         error: BaseException | None,
         trace: TracebackType | None,
     ) -> None:
-        """Bill and settle, without waiting: the caller's answer does not depend on it."""
+        """Bill and settle in the background: the caller's answer does not depend on it."""
         assert self._charge is not None, "entered"
         used = min(self._charge.used_tokens, self._charge.bound_tokens)
         self._context.metrics.counts["billed_tokens"] += used
@@ -129,7 +129,7 @@
 
 
 class Attempt:
-    """One try of a request at one upstream: counts it in flight, and its failure."""
+    """One attempt of a request at one upstream: counts it in flight and records its failure."""
 
     def __init__(self, context: EntryContext, upstream: Upstream) -> None:
         self._context = context
@@ -138,7 +138,7 @@
         self.failed = False
 
     def __enter__(self) -> Attempt:
-        """Count the request."""
+        """Count the request as in flight."""
         self._started_s = self._context.clock.monotonic_s()
         self._context.router.note_started(self._upstream.name)
         return self
@@ -149,7 +149,7 @@
         error: BaseException | None,
         trace: TracebackType | None,
     ) -> None:
-        """Count its end."""
+        """Record the end of the request."""
         now_s = self._context.clock.monotonic_s()
         took_s = now_s - self._started_s
         self._context.router.note_ended(
@@ -157,14 +157,14 @@
         )
 
     def heard(self, response: httpx.Response) -> None:
-        """Take what the answer's headers say of the upstream's load."""
+        """Pass the load report in the answer's headers to the router."""
         load = read_load(response.headers.get(LOAD_HEADER, ""))
         if load is not None:
             now_s = self._context.clock.monotonic_s()
             self._context.router.note_load_report(self._upstream.name, load, now_s)
 
     def fail(self, error: Exception) -> None:
-        """Count a failure of the upstream."""
+        """Record a failure of the upstream."""
         self.failed = True
         emit(Event.UPSTREAM_FAILED, upstream=self._upstream.name, error=str(error))
 
@@ -175,20 +175,20 @@
     route: Callable[[frozenset[str]], RouteCall],
     attempt: Callable[[Upstream, int], Awaitable[_T]],
 ) -> _T:
-    """Return the result of the first attempt that gets one.
+    """Return the result of the first successful attempt.
 
     Parameters
     ----------
     route
-        Returns what routing looks at, given the upstreams that were tried.
+        Returns the input of routing, given the upstreams that were tried.
     attempt
-        Tries an upstream; the number counts from 1.
+        Sends the request to an upstream; attempts are numbered from 1.
 
     Raises
     ------
     RefusedError
-        When no upstream is left, or `MOST_ATTEMPTS` have failed. It says "not run" only if no
-        attempt can have reached an upstream.
+        If no upstream is left or `MAX_ATTEMPTS` have failed. It says "not run" only if no attempt
+        can have reached an upstream.
     """
     tried: frozenset[str] = frozenset()
     last: Exception | None = None
--- a/mothstand/ledger/__init__.py
+++ b/mothstand/ledger/__init__.py
@@ -1,1 +1,1 @@
-"""The ledger at work: folds, accounts and policy of each shard, with their I/O round them."""
+"""Ledger shards of an instance: the folds, accounts and policy of ``core`` with their I/O."""
--- a/mothstand/ledger/calls.py
+++ b/mothstand/ledger/calls.py
@@ -1,4 +1,4 @@
-"""What the ledger says to peers and gets back, and the interface that carries it."""
+"""Messages of the ledger to peers, their replies, and the interface that sends them."""
 
 from __future__ import annotations
 
@@ -22,9 +22,10 @@
     owner
         Incarnation of the instance that will run the request.
     keyed
-        Whether `request_id` comes from the caller's idempotency key, so that it may come again.
+        Whether `request_id` is derived from the caller's idempotency key, so that it may recur.
     away
-        Whether another data centre's leaseholder asks: it is answered at once, and asks no third.
+        Whether another data centre's leaseholder sent the call: it is answered at once and not
+        passed on to a third one.
     """
 
     shard: Shard
@@ -38,13 +39,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Ticket:
-    """Names a reservation: its epoch, its number there, and the two processes that know it.
+    """Identifies a reservation by its epoch, its number there and the epoch's two processes.
 
     Parameters
     ----------
     home
-        Address of the leaseholder that knows the request's key, where another data centre holds
-        the reservation; else empty.
+        Address of the local leaseholder, which indexes the request's key, if another data centre
+        holds the reservation; else empty.
     """
 
     shard: Shard
@@ -57,14 +58,17 @@
 
 @dataclass(frozen=True, slots=True)
 class NotHolder:
-    """Another process leads the shard; `hint` is its address, or empty when unknown."""
+    """Reply of a process that does not lead the shard.
+
+    `hint` is the leaseholder's address, or empty if it is unknown.
+    """
 
     hint: str
 
 
 @dataclass(frozen=True, slots=True)
 class KnownKey:
-    """The request's key has come before; `owner` is the incarnation that runs or ran it."""
+    """Reply for an idempotency key in use; `owner` is the incarnation that runs or ran it."""
 
     owner: str
     finished: bool
@@ -74,7 +78,7 @@
 
 
 class PeerCalls(ABC):
-    """Calls to other instances of the fleet; all raise `PeerError` when there is no answer."""
+    """Calls to other instances of the fleet; all raise `PeerError` if the peer does not answer."""
 
     @abstractmethod
     async def mirror(
@@ -90,8 +94,8 @@
     async def settle(
         self, address: str, ticket: Ticket, used_tokens: int, request_id: str, *, timeout_s: float
     ) -> bool:
-        """Hand over a usage; return whether the instance took it."""
+        """Report a request's usage; return whether the instance accepted it."""
 
     @abstractmethod
     async def posted(self, address: str, tickets: tuple[Ticket, ...], *, timeout_s: float) -> None:
-        """Say that the bills of these reservations are in the log."""
+        """Report that the bills of these reservations are in the log."""
--- a/mothstand/ledger/escrow_agent.py
+++ b/mothstand/ledger/escrow_agent.py
@@ -1,4 +1,4 @@
-"""Asks the log for escrow of one shard and gives some back when another data centre needs it."""
+"""Requests escrow of one shard from the log and returns what other data centres need."""
 
 from __future__ import annotations
 
@@ -35,27 +35,27 @@
     from .state import ShardState
 
 
-#: Seconds after an ask that got less than it wanted, before the next; doubles up to the most.
+#: Seconds between an ask that was not fulfilled and the next one; doubles up to the maximum.
 _UNMET_FIRST_S = 1.0
 _UNMET_MOST_S = 32.0
 
 
-#: Budgets looked at when another asks; at 14 us each, a few milliseconds.
+#: Maximum number of other budgets checked with each ask: at 14 us each, a few milliseconds.
 _MOST_ALONG = 256
 
 
 @dataclass(slots=True)
 class _UnmetAsks:
-    """Asks in a row that got less than they wanted.
+    """Backoff for consecutive asks that got fewer tokens than requested.
 
-    At a budget's end they would go on for each request, two appends a time, in every data centre.
+    Without it, each request near a budget's end would cost two appends in every data centre.
     """
 
     backoff: Backoff = field(default_factory=lambda: Backoff(_UNMET_FIRST_S, _UNMET_MOST_S))
     again_at_s: float = 0.0
 
     def add(self, now_s: float) -> None:
-        """Count one more, and wait longer before the next."""
+        """Count one more and lengthen the wait before the next."""
         self.again_at_s = now_s + self.backoff.next_s()
 
 
@@ -65,7 +65,7 @@
     Parameters
     ----------
     want_mirror
-        Called when there is something new to tell the witness.
+        Called when there is a new reservation to send to the witness.
     """
 
     def __init__(
@@ -85,7 +85,7 @@
         self._returning: dict[tuple[Epoch, int], tuple[BudgetName, int]] = {}
 
     def note_bound(self, budget: BudgetName, bound_tokens: int) -> None:
-        """Note a request's upper bound."""
+        """Record the upper bound of a request's usage."""
         self._demand(budget).note_bound(bound_tokens)
 
     def add_demand(self, budget: BudgetName, used_tokens: int) -> None:
@@ -93,12 +93,12 @@
         self._demand(budget).add_usage(used_tokens, self._state.context.clock.monotonic_s())
 
     def on_epoch(self) -> None:
-        """Forget what was asked for, and on its way back, in an earlier epoch."""
+        """Drop the pending asks and returns of an earlier epoch."""
         self._asked.clear()
         self._returning.clear()
 
     def on_grant(self, record: GrantAsked) -> None:
-        """Note that an ask was decided, whatever the decision."""
+        """Remove a decided ask from the pending ones; back off if it was not fulfilled."""
         here = self._state.context.membership.data_centre
         now_s = self._state.context.clock.monotonic_s()
         for budget, asked in self._asked.items():
@@ -112,9 +112,9 @@
         self._asked = {b: asked for b, asked in self._asked.items() if asked != record.record_id}
 
     def pay(self, budgets: dict[BudgetName, int]) -> None:
-        """Bring the configuration's paid totals into the shard's stream.
+        """Append the configuration's paid totals to the shard's stream.
 
-        Any instance may, at any time: the totals are cumulative, so a second one changes nothing.
+        Any instance may do so at any time: the totals are cumulative, so repeats change nothing.
         """
         for name, paid in budgets.items():
             fold_paid = self._state.fold.paid_tokens.get(name, 0)
@@ -126,15 +126,15 @@
     def ask_for_waiting(self) -> None:
         """Ask for escrow of the budgets that requests wait for.
 
-        Only a request can make a budget run low, and each asks for its own; so nothing has to look
-        at all budgets again and again.
+        Only requests lower a budget, and each request asks for its own budget, so no periodic
+        check of all budgets is needed.
         """
         for budget, tokens in list(self._state.needed_tokens.items()):
             if tokens > 0:
                 self.ask(budget)
 
     def ask(self, budget: BudgetName) -> None:
-        """Ask for escrow of a budget if it runs low, and of others along with it."""
+        """Ask for escrow of a budget if it runs low, and of other low budgets in the same record."""
         leading = self._state.leading()
         if leading is None:
             return
@@ -150,7 +150,7 @@
         self._asked.update({ask.budget: record.record_id for ask in asks})
 
     def _next_along(self, budget: BudgetName) -> list[BudgetName]:
-        """Return the next few other budgets, in turn: to look at all would hold up streams."""
+        """Return the next few other budgets in rotation: checking all would delay streams."""
         names = list(self._demands)
         start = self._along_start % len(names)
         self._along_start = start + _MOST_ALONG
@@ -158,7 +158,7 @@
         return [name for name in in_turn[:_MOST_ALONG] if name != budget]
 
     def give_back(self) -> None:
-        """Return what another data centre asked for in vain and this one can spare."""
+        """Return escrow that other data centres lack and this one can spare."""
         leading = self._state.leading()
         if leading is None:
             return
@@ -173,17 +173,17 @@
                 self._give_way(leading, budget)
 
     def on_decided(self, epoch: Epoch, number: int, acknowledged: bool) -> None:
-        """Take the witness's word on a reservation; if it was for a return, return it or not.
+        """Append the return that the reservation was for, if the witness acknowledged it.
 
-        A rejected return must be forgotten too: as long as it counts as on its way, nothing more
-        of the budget is given back, and other data centres go on waiting.
+        A rejected return is dropped too: while it counts as pending, nothing more of the budget
+        is returned, and other data centres keep waiting.
         """
         returning = self._returning.pop((epoch, number), None)
         if returning is not None and acknowledged:
             self._submit_return(epoch, *returning)
 
     def returning_tokens(self, budget: BudgetName) -> int:
-        """Return what is on its way back, waiting for the witness's word."""
+        """Return the tokens whose return waits for the witness's acknowledgement."""
         return sum(tokens for name, tokens in self._returning.values() if name == budget)
 
     def _ask_one(
@@ -202,7 +202,7 @@
         account = leading[1]
         spent = sum(account.spent_tokens(budget, lane) for lane in Lane)
         grant = leading[0].grants.get(budget, Grant())
-        # Of what is held, not of all that ever came: tokens that went back count no more.
+        # Shares are of the escrow held now: tokens that were returned no longer count.
         held = grant.granted_tokens - grant.returned_tokens + tokens
         allowance = held * policy.allowance_percent // 100
         promotion = promotion_share_tokens(policy.promotion_percent, held, view.largest_tokens)
@@ -215,7 +215,7 @@
         )
 
     def _may_move_others(self, budget: BudgetName, view: EscrowView) -> bool:
-        """Return whether an ask that gets nothing is worth its append: others may give back."""
+        """Return whether to ask though the log has too little: other data centres may return some."""
         if view.needed_tokens <= view.free_tokens or not self._state.elsewhere(budget):
             return False
         now_s = self._state.context.clock.monotonic_s()
@@ -255,17 +255,17 @@
         self.return_tokens(budget, tokens, leading[1].main_lane)
 
     def _give_way(self, leading: tuple[EpochState, HolderAccount], budget: BudgetName) -> None:
-        """Give back all that is free, the allowance too: nothing but rests is left."""
+        """Return all free tokens, the allowance included: every data centre holds only a remainder."""
         epoch_state, account = leading
         grant = epoch_state.grants[budget]
         for lane in Lane:
             self.return_tokens(budget, account.free_tokens(budget, grant, lane), lane)
 
     def return_tokens(self, budget: BudgetName, tokens: int, lane: Lane) -> None:
-        """Give back free tokens of a lane of the led epoch, if there are as many.
+        """Return free tokens of a lane of the led epoch, if it has that many.
 
-        They are reserved for good before the log hears of it: from then on nobody can spend them
-        here, not even after this process died in between.
+        They are reserved permanently before the return is appended, so that nothing can spend
+        them here afterwards, even if this process dies in between.
         """
         leading = self._state.leading()
         if tokens <= 0 or leading is None or budget not in leading[0].grants:
--- a/mothstand/ledger/remote_reserve.py
+++ b/mothstand/ledger/remote_reserve.py
@@ -1,8 +1,8 @@
-"""Reserves at another data centre's leaseholder what this one has no escrow for.
+"""Reserves at another data centre's leaseholder if the local one has too little escrow.
 
-No escrow moves: the other leaseholder reserves in its own epoch, as for a request of its own data
-centre. It works while the platform is out; and where only this data centre is cut off from it, the
-other one can get more escrow from the log.
+No escrow is transferred: the remote leaseholder reserves in its own epoch, as for a request of its
+own data centre. This works while the platform is unreachable. If only the local data centre cannot
+reach it, the remote leaseholder can get more escrow from the log.
 """
 
 from __future__ import annotations
@@ -21,18 +21,19 @@
     from .state import ShardState
 
 
-#: Data centres that are asked for one request, the most promising first.
+#: Maximum number of data centres asked for one request, those with the most free tokens first.
 _MOST_ASKED = 2
 
 
 async def reserve_elsewhere(state: ShardState, call: ReserveCall) -> Ticket | None:
-    """Return a reservation in another data centre's epoch, or None if none has room.
+    """Return a reservation in another data centre's epoch, or None if none has the tokens.
 
     Notes
     -----
-    One after the other: two at once could both reserve. A leaseholder that is not known to be alive
-    is not asked, lest a request waits out a timeout for each data centre in a partition. A
-    reservation whose answer is lost holds its tokens until its epoch ends.
+    Data centres are asked one after the other: two at once could both reserve. Leaseholders that
+    are not known to be alive are skipped, so that in a partition a request does not wait for a
+    timeout per data centre. A reservation whose answer is lost holds its tokens until its epoch
+    ends.
     """
     timing = state.context.timing
     away = replace(call, keyed=False, away=True)
@@ -53,16 +54,16 @@
 def away_wait_s(timing: TimingSection) -> float:
     """Return how long a leaseholder waits for the log on behalf of another data centre.
 
-    Two of them are asked one after the other, and the request has no longer than here.
+    It is half of the local wait, since up to two data centres are asked one after the other.
     """
     return timing.grant_wait_s / 2
 
 
 def epochs_with_room(state: ShardState, budget: BudgetName, bound_tokens: int) -> list[EpochState]:
-    """Return other data centres' open epochs that may have the tokens, the most first.
+    """Return other data centres' open epochs that may have the tokens, most free tokens first.
 
-    They may have less: their spend is known from their last asks only. While this data centre
-    cannot reach the log, others may get from it what they do not have yet.
+    They may have less, since their spend is known from their last asks only. While the local data
+    centre cannot reach the log, epochs with too few tokens are included: they may get more from it.
     """
     now_s = state.context.clock.monotonic_s()
     found: list[tuple[int, EpochState]] = []
--- a/mothstand/ledger/reserver.py
+++ b/mothstand/ledger/reserver.py
@@ -1,4 +1,4 @@
-"""Reserves and settles tokens in the epochs that this instance leads or has promoted itself to."""
+"""Reserves and settles tokens in epochs that this instance leads or spends as their witness."""
 
 from __future__ import annotations
 
@@ -26,20 +26,14 @@
 
 @dataclass(slots=True)
 class _Waiting:
-    """A witnessed reservation that waits for its acknowledgement."""
+    """A reservation that waits for the witness's acknowledgement."""
 
     done: anyio.Event = field(default_factory=anyio.Event)
     acknowledged: bool = False
 
 
 class Reserver:
-    """Serves reservations of one shard.
-
-    Parameters
-    ----------
-    ask_now
-        Called when a request waits for escrow.
-    """
+    """Serves the reservations of one shard."""
 
     def __init__(self, state: ShardState) -> None:
         self._state = state
@@ -49,7 +43,7 @@
         self.witness_reachable = True
 
     def attach(self, agent: EscrowAgent) -> None:
-        """Take the agent that asks for escrow; the two need each other."""
+        """Set the agent that asks for escrow; agent and reserver refer to each other."""
         self._agent = agent
 
     @property
@@ -63,7 +57,7 @@
         self._mirror_wanted.set()
 
     async def reserve(self, call: ReserveCall) -> ReserveReply:
-        """Reserve the request's upper bound, or say why not."""
+        """Reserve the request's upper bound, or return the reason for a refusal."""
         state = self._state
         if call.keyed:
             known = self._find_key(call)
@@ -74,7 +68,7 @@
         if not leads and promoted is None:
             return NotHolder(self._hint())
         if call.keyed:
-            # Before the first await, so that a second request of the same key finds it.
+            # Registered before the first await, so that a second request of the same key finds it.
             state.requests.start(call.request_id, call.owner)
         if promoted is None:
             reply = await self._reserve_leading(call)
@@ -85,7 +79,7 @@
         return reply
 
     def settle(self, ticket: Ticket, used_tokens: int, request_id: str) -> bool:
-        """Settle a reservation; return False if this instance cannot, now or ever."""
+        """Settle a reservation; return False if this instance cannot."""
         state = self._state
         if ticket.home == state.context.membership.local_member.address:
             self._end_key(request_id, used_tokens)
@@ -101,7 +95,7 @@
         elif witness is not None and witness.is_sealed:
             witness.settle(ticket.number, used_tokens)
         else:
-            # An unsealed witness hears of settlements from its holder, in order.
+            # An unsealed witness receives settlements from its holder, in order.
             return False
         self._end_key(request_id, used_tokens)
         state.announce()
@@ -112,7 +106,7 @@
         if used_tokens > 0:
             requests.finish(request_id, self._state.context.clock.monotonic_s())
         else:
-            # Given up before it cost anything: the key is free for another try.
+            # Nothing was billed: the key is free for another attempt.
             requests.forget(request_id)
 
     def posted(self, ticket: Ticket) -> None:
@@ -126,11 +120,11 @@
             witness.note_posted(ticket.number)
 
     def mirror(self, batch: MirrorBatch) -> MirrorAnswer | None:
-        """Answer a holder as its witness; None says "not me"."""
+        """Answer a holder's batch; return None if this process is not the epoch's witness."""
         witness = self._state.witnesses.get(batch.epoch)
         if witness is None or batch.epoch not in self._state.fold.epochs:
             # A process restarted at the witness's address has no account of the epoch. Answering
-            # "nothing spent" would free what its former life acknowledged.
+            # "nothing spent" would free what the former process acknowledged.
             return None
         grants = self._state.fold.epochs[batch.epoch].grants
         return witness.apply_batch(batch, grants)
@@ -173,7 +167,7 @@
     def take_answer(
         self, account: HolderAccount, batch: MirrorBatch, answer: MirrorAnswer
     ) -> tuple[Reservation, ...]:
-        """Take the witness's answer to a batch; return the reservations that may now be used."""
+        """Apply the witness's answer to a batch; return the reservations that may now be used."""
         usable = account.apply_answer(batch.number, answer)
         numbers = frozenset(r.number for r in usable)
         self._release(batch, numbers)
@@ -194,7 +188,7 @@
                 waiting.done.set()
 
     def _release_lost(self) -> None:
-        """Let go of requests that wait in an epoch which this instance leads no more."""
+        """Wake the requests that wait in epochs which this instance no longer leads."""
         leading = self._state.leading()
         current = None if leading is None else leading[0].epoch
         for key in [key for key in self._waiting if key[0] != current]:
@@ -212,7 +206,7 @@
         return KnownKey(owner=known.owner, finished=not running)
 
     def _take_over(self, call: ReserveCall) -> ReserveReply | None:
-        """Hand the reservation of a request whose owner died to the retry: one bill for both."""
+        """Assign the reservation of a dead owner's request to its retry, so both get one bill."""
         for epoch, account in [*self._state.holders.items(), *self._state.witnesses.items()]:
             if epoch not in self._state.fold.epochs:
                 continue
@@ -272,7 +266,7 @@
                 self.agent.ask(call.budget)
                 return ticket
             left_s = deadline_s - state.context.clock.monotonic_s()
-            # Nobody waits here for another data centre's request, unless the log can help.
+            # A remote data centre's request waits here only if the log can supply the tokens.
             waited = left_s <= 0 or (call.away and self.log_has_less(call))
             refused = self.shortage(call, waited=waited)
             if may_ask_elsewhere and not self._is_exhausted(refused) and self.log_has_less(call):
@@ -290,7 +284,7 @@
         return refused is not None and refused.kind is ErrorKind.BUDGET_EXHAUSTED
 
     def log_has_less(self, call: ReserveCall) -> bool:
-        """Return whether asking the log cannot bring what the call needs, or not now."""
+        """Return whether the log is unreachable or has fewer tokens than the call needs."""
         free = self._state.fold.ungranted_tokens(call.budget)
         return self._state.context.log_is_out or free < call.bound_tokens
 
@@ -308,17 +302,17 @@
             account.settle(taken.number, 0)
         if self.witness_reachable or not account.has_witness:
             return None
-        # The witness was lost while this request waited for it.
+        # The witness became unreachable while this request waited for it.
         taken = _reserve_in(account, call, grant, Lane.OWN)
         return None if taken is None else self._ticket(epoch_state, taken)
 
     def lanes(self, account: HolderAccount, budget: BudgetName) -> list[Lane]:
-        """Return the lanes that a request may draw on now, in order.
+        """Return the lanes that a request may use now, in order.
 
         Notes
         -----
-        The allowance is for a lost witness, and is kept while the log has more to give. At the
-        budget's end it is spent: holding it back would refuse requests that are paid for.
+        The allowance is for an unreachable witness and is withheld while the log has tokens left.
+        At the budget's end it is spent: withholding it would refuse requests that are paid for.
         """
         if not account.has_witness or not self.witness_reachable:
             return [Lane.OWN]
@@ -347,7 +341,7 @@
             needed[call.budget] -= call.bound_tokens
 
     def shortage(self, call: ReserveCall, *, waited: bool) -> Refusal | None:
-        """Return why the budget does not cover the call, or None when waiting may help."""
+        """Return why the budget does not cover the call, or None if waiting may help."""
         leading = self._state.leading()
         if leading is None:
             return None
--- a/mothstand/ledger/service.py
+++ b/mothstand/ledger/service.py
@@ -1,4 +1,4 @@
-"""The ledger as one instance sees it: finds the leaseholder, reserves, settles, bills."""
+"""The ledger interface of one instance: finds leaseholders, reserves, settles and bills."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     from .calls import ReserveReply
     from .state import ShardContext
 
-#: Time for a takeover to finish while a request waits: suspicion plus the new epoch's append.
+#: Time that a request waits for a takeover: suspicion of the holder and the new epoch's append.
 _FIND_HOLDER_S = 3.0
 _FIND_AGAIN_S = 0.1
 _POSTED_EVERY_S = 1.0
@@ -33,7 +33,7 @@
 
 
 class LedgerService:
-    """All shards at one instance.
+    """All ledger shards of one instance.
 
     Parameters
     ----------
@@ -65,25 +65,25 @@
             for number in range(shard_count)
         }
 
-    # -- what peers ask of this instance -----------------------------------------------------
+    # -- calls from peers ---------------------------------------------------------------------
 
     async def reserve_here(self, call: ReserveCall) -> ReserveReply:
         """Reserve if this instance leads the shard."""
         return await self.shards[call.shard].reserver.reserve(call)
 
     def settle_here(self, ticket: Ticket, used_tokens: int, request_id: str) -> bool:
-        """Settle if this instance knows the epoch and may."""
+        """Settle a reservation here; return False if this instance cannot."""
         return self.shards[ticket.shard].reserver.settle(ticket, used_tokens, request_id)
 
     def posted_here(self, ticket: Ticket) -> None:
-        """Note that a bill is in the log."""
+        """Note that the bill of a reservation is in the log."""
         self.shards[ticket.shard].reserver.posted(ticket)
 
     def mirror_here(self, shard: Shard, batch: MirrorBatch) -> MirrorAnswer | None:
-        """Acknowledge a batch as a witness; None says "not me"."""
+        """Answer a batch as its witness; return None if this process is not the witness."""
         return self.shards[shard].reserver.mirror(batch)
 
-    # -- what this instance's requests ask of the ledger --------------------------------------
+    # -- calls from this instance's requests --------------------------------------------------
 
     async def reserve(
         self, budget: BudgetName, request_id: str, bound_tokens: int, *, keyed: bool
@@ -93,7 +93,7 @@
         Returns
         -------
         Ticket | Refusal | KnownKey
-            A reservation, the reason why there is none, or who runs the request already.
+            A reservation, the reason why there is none, or the owner of the request's key.
         """
         call = ReserveCall(
             shard=Shard(shard_of(budget, self.shard_count)),
@@ -116,10 +116,10 @@
     async def settle(
         self, ticket: Ticket, budget: BudgetName, request_id: str, used_tokens: int
     ) -> None:
-        """Bill a request and settle its reservation; retries until a side of the epoch took it.
+        """Bill a request and settle its reservation, with retries until a peer accepts it.
 
-        The bill is queued for the log before anything is awaited, so a caller that goes away
-        cannot lose it.
+        The bill is queued for the log before the first await, so that it is not lost if the
+        caller disconnects.
         """
         if used_tokens > 0:
             self._ticket_of[request_id] = ticket
@@ -128,14 +128,14 @@
         try:
             await self._settle_until_taken(ticket, request_id, used_tokens)
             if ticket.home:
-                # Best effort: at the worst a retry is told for longer than need be to join.
+                # Best effort: without it, retries are treated as running for longer than necessary.
                 await self._settle_at(ticket.home, ticket, request_id, used_tokens)
         finally:
             self._unsettled -= 1
 
     @property
     def unsettled(self) -> int:
-        """Number of settlements that no side has taken yet."""
+        """Number of settlements that no side of their epoch has accepted yet."""
         return self._unsettled
 
     def partners(self) -> set[str]:
@@ -145,13 +145,13 @@
         return {name for pair in pairs if me in pair for name in pair if name != me}
 
     def leads_any(self, others: bool) -> bool:
-        """Hand over at a stop; return whether this instance still leads a shard.
+        """Hand over the led shards at a stop; return whether some are still to be taken over.
 
         Parameters
         ----------
-        others
+        has_peers
             Whether another instance can take over. If not, the epochs are closed here, so that
-            their rest goes back to the log.
+            their unspent tokens go back to the log.
         """
         leading = [node for node in self.shards.values() if node.state.leading() is not None]
         if not others:
@@ -162,7 +162,7 @@
     # -- background work ----------------------------------------------------------------------
 
     def on_config(self) -> None:
-        """Sort the configured budgets by shard, once for each configuration."""
+        """Group the configured budgets by shard, once for each configuration."""
         paid: dict[Shard, dict[BudgetName, int]] = {}
         for name, budget in self._context.config().budgets.items():
             shard = Shard(shard_of(name, self.shard_count))
@@ -170,12 +170,12 @@
         self._paid = paid
 
     def tick(self) -> None:
-        """Let every shard do what is due."""
+        """Run the due work of every shard."""
         for shard, node in self.shards.items():
             node.tick(self._paid.get(shard, {}))
 
     async def run(self) -> None:
-        """Mirror and confirm bills until cancelled."""
+        """Send batches to witnesses and report posted bills, until cancelled."""
         async with anyio.create_task_group() as tasks:
             for node in self.shards.values():
                 tasks.start_soon(node.reserver.run_mirror)
@@ -199,7 +199,7 @@
         try:
             await self._context.calls.posted(address, tickets, timeout_s=1.0)
         except PeerError:
-            # Then the holder may post the bills again for a dead instance; the second is dropped.
+            # The holder may then bill for this instance once it is dead; duplicate bills are dropped.
             return
 
     def _bill(self, line: BillLine) -> None:
@@ -227,7 +227,7 @@
         return NotHolder("")
 
     def _likely_holders(self, shard: Shard) -> list[str]:
-        """Return addresses to try: the epoch's two as the log names them, then by rendezvous."""
+        """Return addresses to try: the epoch's holder and witness, then others by rendezvous rank."""
         current = self.shards[shard].state.current()
         named = []
         if current is not None:
@@ -247,8 +247,8 @@
         try:
             return await self._context.calls.reserve(address, call, timeout_s=timeout_s)
         except PeerError:
-            # It may have reserved all the same: those tokens stay reserved until the epoch ends,
-            # or for a keyed request until its retry.
+            # The peer may have reserved: the tokens then stay reserved until the epoch ends or, for
+            # a keyed request, until its retry.
             return NotHolder("")
 
     async def _settle_until_taken(self, ticket: Ticket, request_id: str, used_tokens: int) -> None:
--- a/mothstand/ledger/shard.py
+++ b/mothstand/ledger/shard.py
@@ -1,7 +1,7 @@
-"""One ledger shard at one instance: reads its stream, leads or witnesses its epochs.
+"""One ledger shard of an instance: reads its stream and leads or witnesses its epochs.
 
-The thinking is in ``core``. It all runs on one loop, so state changes between two awaits are
-atomic.
+The decisions are made in ``core``. Everything runs on one event loop, so state changes between two
+awaits are atomic.
 """
 
 from __future__ import annotations
@@ -36,11 +36,11 @@
     from ..types import BudgetName, Shard
     from .state import ShardContext
 
-#: Seconds that the reservation of a dead instance's request is kept for the caller's retry; then
-#: it is billed at its upper bound.
+#: Seconds for which the reservation of a dead instance's request is retained for the caller's
+#: retry. Then it is billed at its upper bound.
 ORPHAN_HOLD_S = 120.0
 
-#: Seconds between two looks at requests whose instance may have died.
+#: Seconds between two checks for requests whose instance died.
 SWEEP_EVERY_S = 2.0
 
 #: Offsets of a shard's stream between two snapshots.
@@ -48,14 +48,14 @@
 
 
 class ShardNode:
-    """One ledger shard at one instance.
+    """One ledger shard of an instance.
 
     Parameters
     ----------
     writer
         Appends to the shard's stream.
     bill
-        Takes a bill line for the bills stream; used for requests whose instance died.
+        Appends a line to the bills stream; used for requests whose instance died.
     """
 
     def __init__(
@@ -96,18 +96,18 @@
         self.state.announce()
 
     def load(self, snapshot: LedgerSnapshot) -> None:
-        """Take the state of the shard from a snapshot, in place of the trimmed records."""
+        """Load the shard's state from a snapshot that replaces the trimmed records."""
         self.state.fold = LedgerFold.load(self.state.shard, snapshot)
         self._snapshot_offset = snapshot.at_offset
         self.state.announce()
 
     def tick(self, paid_tokens: dict[BudgetName, int]) -> None:
-        """Do what is due: open an epoch, promote, ask for escrow, bill for the dead.
+        """Run the due work: open an epoch, promote, ask for escrow, bill for dead instances.
 
         Parameters
         ----------
         paid_tokens
-            The configured paid totals of this shard's budgets; a new mapping when they change.
+            Configured paid totals of this shard's budgets; a new mapping if they have changed.
         """
         now_s = self._context.clock.monotonic_s()
         self._open_if_due(now_s)
@@ -120,7 +120,7 @@
             self.agent.give_back()
             self._snapshot_if_due()
         if now_s >= self._sweep_at_s:
-            # These look at every open reservation, so not each time.
+            # These go through all open reservations, so they do not run with each tick.
             self._sweep_at_s = now_s + SWEEP_EVERY_S
             self._bill_for_the_dead(now_s)
             self._report_late_settlements()
@@ -128,17 +128,17 @@
             self.state.requests.expire(now_s)
 
     def close(self) -> None:
-        """Close the led epoch without a successor, at a stop."""
+        """Close the led epoch without a successor when the instance stops."""
         leading = self.state.leading()
         if leading is not None:
             leading[1].has_lost_epoch = True
             self._report_closed(leading[0].epoch)
 
     def _snapshot_if_due(self) -> None:
-        """Append a snapshot once enough has come since the last.
+        """Append a snapshot if enough records were read since the last one.
 
-        The data centres' leaseholders take turns: the first in order is due first, the others a
-        little later, in case it is cut off.
+        The leaseholder of the first data centre in order is due first, the others a little later,
+        in case the first is cut off from the log.
         """
         order = sorted(self.state.fold.current_epochs)
         turn = order.index(self._context.membership.data_centre)
@@ -170,7 +170,7 @@
             self._leave_epoch(before.epoch)
 
     def _leave_epoch(self, epoch: Epoch) -> None:
-        """Spend nothing more in a superseded epoch and close this instance's side of it."""
+        """Stop spending in a superseded epoch and close this instance's side of it."""
         holder = self.state.holders.get(epoch)
         if holder is not None:
             holder.has_lost_epoch = True
@@ -185,7 +185,7 @@
         self.reserver.want_mirror()
 
     def _adopt_requests(self, witness: WitnessAccount) -> None:
-        """Know the keys of the lost leaseholder's requests, so that retries do not run twice."""
+        """Index the keys of the former leaseholder's requests, so that retries do not run twice."""
         now_s = self._context.clock.monotonic_s()
         for reservation in witness.open_reservations.values():
             self.state.requests.start(reservation.request_id, reservation.owner)
@@ -194,7 +194,7 @@
             self.state.requests.finish(settled.reservation.request_id, now_s)
 
     def _report_closed(self, epoch: Epoch) -> None:
-        """Tell the log what this instance vouches for, if it has changed since it last did."""
+        """Append the spend of this instance's sides of an epoch, if it changed since the last append."""
         if epoch not in self.state.fold.epochs:
             return
         for side, account in self._sides(epoch):
@@ -214,7 +214,7 @@
         return sides
 
     def _report_late_settlements(self) -> None:
-        """Lower the closed sides of epochs whose last reservations were settled since."""
+        """Report the lower spend of closed epochs whose last reservations were settled since."""
         current = self.state.current()
         for epoch in {*self.state.holders, *self.state.witnesses}:
             if current is None or epoch == current.epoch:
@@ -234,7 +234,7 @@
         self._opening = record.record_id
 
     def _promote_if_due(self, now_s: float) -> None:
-        """Spend the promotion share of a silent holder's epoch while the log is out."""
+        """Let the witness spend its promotion share if the holder and the log are unreachable."""
         current = self.state.current()
         if current is None or not self._context.log_is_out:
             return
@@ -248,15 +248,15 @@
         emit(Event.WITNESS_PROMOTED, shard=self.state.shard, epoch=current.epoch)
 
     def _forget_retired(self) -> None:
-        """Drop the accounts of epochs that the fold keeps no more."""
+        """Drop the accounts of epochs that the fold no longer retains."""
         for accounts in (self.state.holders, self.state.witnesses):
             for epoch in [e for e in accounts if e not in self.state.fold.epochs]:
-                # Running requests still settle here, if only for their bills.
+                # Running requests still settle in these accounts, which their bills need.
                 if not accounts[epoch].open_reservations:
                     del accounts[epoch]
 
     def _bill_for_the_dead(self, now_s: float) -> None:
-        """Post the bills of instances that died before they could."""
+        """Post the bills of instances that died before they could post them."""
         for _, account in self._billable():
             for number, settled in list(account.unposted_requests.items()):
                 if self._is_dead(settled.reservation.owner, now_s, for_s=0.0):
@@ -270,7 +270,7 @@
                     account.note_posted(number)
 
     def _billable(self) -> list[tuple[Epoch, HolderAccount | WitnessAccount]]:
-        """Return the accounts that speak for their epoch: no witness does before it seals."""
+        """Return accounts that may bill for their epoch: holders', and witnesses' once sealed."""
         sealed = [(e, w) for e, w in self.state.witnesses.items() if w.is_sealed]
         return [*self.state.holders.items(), *sealed]
 
--- a/mothstand/ledger/state.py
+++ b/mothstand/ledger/state.py
@@ -1,4 +1,4 @@
-"""What the parts of one shard at one instance share."""
+"""State shared by the parts of one ledger shard of an instance."""
 
 from __future__ import annotations
 
@@ -26,16 +26,16 @@
 
 @dataclass(slots=True)
 class ShardContext:
-    """What all shards of an instance share.
+    """Context shared by all shards of an instance.
 
     Parameters
     ----------
     config
         Returns the configuration in force.
     log_silent_s
-        Returns for how long the log has not answered; 0 while it does.
+        Returns for how many seconds the log has not answered; 0 while it answers.
     data_centres
-        Returns how many data centres share the budgets.
+        Returns the number of data centres that share the budgets.
     """
 
     membership: Membership
@@ -48,7 +48,7 @@
 
     @property
     def log_is_out(self) -> bool:
-        """Whether the log has been silent for long."""
+        """Whether the log has not answered for `UNREACHABLE_AFTER_S` or longer."""
         return self.log_silent_s() >= UNREACHABLE_AFTER_S
 
 
@@ -59,7 +59,7 @@
     Parameters
     ----------
     needed_tokens
-        For each budget, what requests wait for right now.
+        For each budget, the tokens that requests wait for.
     """
 
     shard: Shard
@@ -115,10 +115,10 @@
 
     @property
     def progress(self) -> anyio.Event:
-        """Set when something changes that a waiting request may look at again."""
+        """Event that is set when the state that requests wait for may have changed."""
         return self._progress
 
     def announce(self) -> None:
-        """Wake what waits for `progress`."""
+        """Wake the requests that wait for `progress`."""
         self._progress.set()
         self._progress = anyio.Event()
