--- a/mothstand/entry/chat.py
+++ b/mothstand/entry/chat.py
@@ -1,4 +1,4 @@
-"""Chat completions: one request, whole or streamed, through one model engine."""
+"""Chat completions: runs a request, complete or streamed, on one model engine after another."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 _NOT_FOUND = 404
 
-#: What the chat template adds to each message, as an upper bound.
+#: Upper bound of the tokens that a chat template adds to each message.
 _TOKENS_PER_MESSAGE = 16
 
 
@@ -52,7 +52,7 @@
 
     @property
     def bound_tokens(self) -> int:
-        """Upper bound of the usage: no tokenizer makes more tokens than there are bytes."""
+        """Upper bound of the usage: no tokenizer makes more tokens than the text has bytes."""
         prompt = len(self._request.body) + _TOKENS_PER_MESSAGE * len(self._body.messages)
         return prompt + self._config.prompt_overhead_tokens + self._max_tokens
 
@@ -62,9 +62,9 @@
         Raises
         ------
         RefusedError
-            Only while nothing of an answer has been sent.
+            Only if nothing of an answer has been sent.
         """
-        # Asked before the reservation: a request that no upstream takes holds no tokens.
+        # Checked before the reservation, so that a request without an upstream holds no tokens.
         choose_upstream(self._context, self._request, self._route(frozenset()))
         async with Budgeted(self._context, self._request, self.bound_tokens) as charge:
             await self._dispatch(charge, sink)
@@ -100,8 +100,8 @@
         async def attempt(upstream: Upstream, number: int) -> None:
             await self._attempt(upstream, number, charge, sink)
 
-        # A completion may be run again as long as nothing of it has reached the caller, and gone
-        # on with after that. Only one run's usage is billed.
+        # A completion may run again until a part of it has reached the caller. After that it may
+        # only be continued. Only one run's usage is billed.
         try:
             await try_upstreams(self._context, self._request, self._route, attempt)
         except RefusedError as refused:
@@ -138,7 +138,7 @@
                 raise MayHaveRunError(str(error)) from error
 
     def _check_goes_on(self, sink: AnswerSink, upstream: Upstream, error: Exception) -> None:
-        """Refuse if an answer that has begun cannot be gone on with by another engine."""
+        """Refuse if the caller has a part of the answer that another engine cannot continue."""
         if not sink.started:
             self._so_far = PartialAnswer()
             return
@@ -189,7 +189,7 @@
             usage = read_usage(json.loads(body))
         except ValueError as error:
             raise MayHaveRunError("the engine's answer is not JSON") from error
-        # An engine that reports no usage is billed for at the bound: less could be untrue.
+        # Without reported usage the bound is billed: the usage could be anything up to it.
         charge.used_tokens = usage.total_tokens if usage else charge.bound_tokens
         self._note_first_byte()
         await sink.send_whole(200, self._answer_headers("application/json"), body)
@@ -233,7 +233,7 @@
         self._context.metrics.counts["answers"] += 1
 
     async def _break_off(self, sink: AnswerSink, detail: str) -> None:
-        """End an answer that cannot be completed as what it is, never as if it were whole."""
+        """End an incomplete answer with an error event, so that it does not pass for complete."""
         refusal = Refusal(ErrorKind.ANSWER_BROKEN, detail)
         emit(Event.ANSWER_BROKEN, request_id=self._request.request_id, detail=detail)
         await sink.send(refusal_event(refusal))
@@ -241,6 +241,6 @@
 
 
 def _check_loaded(upstream: Upstream, response: httpx.Response) -> None:
-    """Take "not found" of an engine that takes orders for what it is: not loaded yet."""
+    """Treat "not found" from an engine that accepts orders as "model not loaded yet"."""
     if response.status_code == _NOT_FOUND and upstream.orders is not OrderCheck.NONE:
         raise NotRunError(f"{upstream.name} has not loaded the model yet")
--- a/mothstand/entry/chat_body.py
+++ b/mothstand/entry/chat_body.py
@@ -1,4 +1,4 @@
-"""The body of a chat completion: what is read of a caller's, and what engines get."""
+"""Bodies of chat completions: parses the caller's and makes the engine's."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 import xxhash
 from pydantic import BaseModel, ConfigDict, Field
 
-#: Characters of the prompt that name its prefix: a system prompt or style guide is longer.
+#: Characters of the prompt that identify its prefix: system prompts and style guides are longer.
 _PREFIX_CHARACTERS = 256
 
 
 class _TextPart(BaseModel):
-    """A part of a message; only text has a bound on its tokens."""
+    """A part of a message; only text is allowed, since only its tokens have an upper bound."""
 
     model_config = ConfigDict(extra="allow")
     type: str = Field(pattern="^text$")
@@ -32,7 +32,7 @@
 
 
 class ChatBody(BaseModel):
-    """What is read of a caller's body; the rest is passed on as it is."""
+    """The fields of a caller's body that are read; others are passed on unchanged."""
 
     model_config = ConfigDict(extra="allow")
     model: str
@@ -45,23 +45,23 @@
 
     @property
     def prefix(self) -> str:
-        """What requests that share a cached prompt prefix have in common."""
+        """Hash that is equal for requests that share a cached prompt prefix."""
         first = self.messages[0].content
         text = first if isinstance(first, str) else "".join(p.text for p in first or [])
         return xxhash.xxh3_64_hexdigest(f"{self.model}|{text[:_PREFIX_CHARACTERS]}".encode())
 
     @property
     def can_continue(self) -> bool:
-        """Whether another engine could go on from a part of the answer's text.
+        """Whether another engine could continue from a part of the answer's text.
 
-        Not where the answer is more than text, or made under a grammar that would start anew.
+        It cannot if the answer is more than text, or follows a grammar, which would start anew.
         """
         extra = self.model_extra or {}
         ends_open = self.messages[-1].role == "assistant"
         return not ends_open and not any(extra.get(name) for name in _MORE_THAN_TEXT)
 
 
-#: Fields of a body by which its answer is more than text, or bound to a grammar.
+#: Fields of a body that make the answer more than text or bind it to a grammar.
 _MORE_THAN_TEXT = (
     "tools",
     "functions",
@@ -78,26 +78,26 @@
 def engine_body(
     body: bytes, *, max_tokens: int, priority: int, stream: bool, text_so_far: str = ""
 ) -> bytes:
-    """Return the body that an engine gets.
+    """Return the body to send to an engine.
 
     Parameters
     ----------
     body
-        The caller's.
+        The caller's body.
     max_tokens
-        How many tokens the engine may still make.
+        Number of tokens that the engine may still generate.
     priority
-        The workspace's; of those that wait at the engine, the highest goes first.
+        The workspace's priority; the engine runs waiting requests of the highest priority first.
     text_so_far
-        A part of the answer that another engine has made, for this one to go on with.
+        Part of the answer that another engine has generated, for this one to continue.
     """
     value: dict[str, Any] = json.loads(body)
     value.pop("max_completion_tokens", None)
     value["max_tokens"] = max_tokens
-    # Engines take the lowest number first. The caller's own value, if any, does not count.
+    # Engines run the lowest number first. A value that the caller sent is ignored.
     value["priority"] = -priority
     if stream:
-        # Usage with each event: what a cut stream has cost is known at any moment.
+        # Usage comes with each event, so that the cost of a stream that breaks off is known.
         value["stream_options"] = {"include_usage": True, "continuous_usage_stats": True}
     if text_so_far:
         value["messages"].append({"role": "assistant", "content": text_so_far})
--- a/mothstand/entry/configuration.py
+++ b/mothstand/entry/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration in force at one instance: from the log, or from a peer while the log is out."""
+"""The configuration in force at an instance, from the log or, in an outage, from a peer."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
     from ..peers.client import GrpcPeers
 
 
-#: Records of the stream, and seconds, between two snapshots.
+#: Records of the stream and seconds between two snapshots, whichever is reached first.
 SNAPSHOT_EVERY_RECORDS = 50
 SNAPSHOT_EVERY_S = 3600.0
 
 
 class Configuration:
-    """Holds the highest accepted configuration; it never goes back.
+    """Holds the accepted configuration of the highest offset; it never goes back to a lower one.
 
     Parameters
     ----------
     on_change
-        Called after a configuration came into force.
+        Called after a configuration has come into force.
     """
 
     def __init__(self, on_change: Callable[[], None]) -> None:
@@ -57,18 +57,18 @@
             emit(Event.CONFIG_REFUSED, offset=offset, reason=outcome.reason)
 
     def load(self, snapshot: ConfigSnapshot) -> None:
-        """Take the configuration from a snapshot, in place of the trimmed records."""
+        """Load the configuration from a snapshot that replaces the trimmed records."""
         self.fold.load(snapshot)
         self._read_offset = self._snapshot_offset = snapshot.at_offset
         self._take(self.fold.state)
 
     def snapshot_if_due(self, writer: LogWriter[ConfigSnapshot], turn: int, now_s: float) -> None:
-        """Append a snapshot once enough has come, or long enough has passed, since the last.
+        """Append a snapshot if enough records or enough time have passed since the last one.
 
         Parameters
         ----------
         turn
-            Place of this instance in the fleet's order: the first is due first.
+            Position of this instance in the order of the fleet: the first is due first.
         """
         behind = self._read_offset - self._snapshot_offset
         old = now_s - self._snapshot_at_s > SNAPSHOT_EVERY_S * (1 + turn)
@@ -81,7 +81,7 @@
         self._snapshot_at_s = now_s
 
     async def fetch(self, peers: GrpcPeers, address: str) -> None:
-        """Take a peer's configuration if it is newer than the one in force."""
+        """Fetch a peer's configuration and apply it if it is newer than the one in force."""
         try:
             newer = await peers.config(address, self._state.offset, timeout_s=1.0)
         except PeerError:
@@ -93,7 +93,7 @@
 
     def _take(self, state: ConfigState) -> None:
         if state.offset <= self._state.offset:
-            # The log, read from its start, lags behind what a peer handed over: never revert.
+            # A log that is read from its start lags behind what a peer sent: never revert.
             return
         self._state = state
         emit(Event.CONFIG_IN_FORCE, offset=state.offset)
--- a/mothstand/entry/context.py
+++ b/mothstand/entry/context.py
@@ -1,4 +1,4 @@
-"""What the request handlers of one instance share."""
+"""Context shared by the request handlers of an instance."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Caller:
-    """Who sent a request, by the key in its Authorization header."""
+    """The key in a request's Authorization header, and its workspace."""
 
     key: CallerKey
     workspace: Workspace
@@ -33,17 +33,17 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerRequest:
-    """A request as it came in.
+    """A request as received from its caller.
 
     Parameters
     ----------
     request_id
-        Its id in the ledger and in the bills: made from workspace and idempotency key, so that a
-        retry has the same, or made up.
+        Id in the ledger and in the bills: derived from workspace, path and idempotency key, so
+        that a retry has the same id, or else random.
     keyed
         Whether the caller sent an idempotency key.
     forwarded
-        Whether another instance passed it on to this one, which runs it.
+        Whether another instance forwarded it. It is not forwarded again.
     """
 
     caller: Caller
@@ -54,20 +54,20 @@
 
     @property
     def body_digest(self) -> str:
-        """Digest of the body, to tell a retry from another request under the same key."""
+        """Digest of the body, to distinguish a retry from another request with the same key."""
         return hashlib.sha256(self.body).hexdigest()
 
 
 @dataclass(slots=True)
 class Activity:
-    """Requests that run at this instance.
+    """Requests that run at this instance, and the stages of its stop.
 
     Parameters
     ----------
     leaving
-        The balancer should send no more; what comes is still served.
+        The balancer should send no more requests; those that arrive are still served.
     stopping
-        What comes is refused.
+        Requests that arrive are refused.
     """
 
     running: int = 0
@@ -77,7 +77,7 @@
 
 @dataclass(slots=True)
 class EntryContext:
-    """What the request handlers of one instance share.
+    """Context shared by the request handlers of an instance.
 
     Parameters
     ----------
@@ -114,10 +114,10 @@
         return Caller(found, config.workspaces[found.workspace])
 
     def sharers(self) -> int:
-        """Return how many instances share this data centre's upstreams."""
+        """Return the number of instances that share this data centre's upstreams."""
         return max(1, len(self.membership.local_alive(self.clock.monotonic_s())))
 
     def owner_of(self, known: KnownKey) -> str:
-        """Return the callers' address of the instance that runs or ran a keyed request, or ""."""
+        """Return the callers' address of the instance that runs or ran a key's request, or ""."""
         member = self.membership.find(known.owner, self.clock.monotonic_s())
         return "" if member is None else member.callers_address
--- a/mothstand/entry/heartbeats.py
+++ b/mothstand/entry/heartbeats.py
@@ -1,4 +1,4 @@
-"""Keeps membership current: the platform's list and direct heartbeats."""
+"""Keeps membership current from the platform's list and from direct heartbeats."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class Heartbeats:
-    """Reads the list and probes peers.
+    """Reads the platform's list of instances and probes peers.
 
     Parameters
     ----------
@@ -34,8 +34,8 @@
     partners
         Returns the names of the peers that share a ledger epoch with this instance.
     seeds
-        Addresses of peers to ask while no list has been read: an instance that starts while the
-        platform is out would know nobody.
+        Addresses of peers to probe while no peer is known: an instance that starts during an
+        outage of the platform cannot read the list.
     """
 
     def __init__(
@@ -63,13 +63,13 @@
         self._seeds = seeds
 
     async def run_list(self) -> None:
-        """Read the platform's list again and again, until cancelled."""
+        """Read the platform's list at regular intervals, until cancelled."""
         while True:
             await self.read_list()
             await self._clock.sleep(_LIST_EVERY_S)
 
     async def read_list(self) -> None:
-        """Read the platform's list once; what was known stays while it is out."""
+        """Read the platform's list once; membership is unchanged if the list is unreachable."""
         try:
             listed = await self._listing.read()
         except ListError:
@@ -91,7 +91,7 @@
         )
 
     async def run_probes(self) -> None:
-        """Probe the peers that are due, again and again, until cancelled."""
+        """Probe the peers that are due in each heartbeat interval, until cancelled."""
         pace = ProbeRates(self._timing.heartbeat_s, self._timing.probes_per_s)
         while True:
             now_s = self._clock.monotonic_s()
--- a/mothstand/entry/instance.py
+++ b/mothstand/entry/instance.py
@@ -1,4 +1,4 @@
-"""One instance: composes the parts, runs them on one loop, and stops without cutting a stream."""
+"""One instance: composes its parts, runs them on one loop, and drains its streams at a stop."""
 
 from __future__ import annotations
 
@@ -66,7 +66,7 @@
 _BILLS_INTERVAL_S = 0.2
 _ORDERS_INTERVAL_S = 1.0
 _DRAIN_CHECK_S = 0.05
-#: Time at a stop for the successors' epochs and the last appends to reach the log.
+#: Time at a stop for successors to open their epochs and for the last appends.
 _HAND_OVER_S = 5.0
 _RESTART_TASK_S = 0.5
 _CLOSE_S = 0.5
@@ -78,7 +78,7 @@
     Parameters
     ----------
     settings
-        What it is told at start.
+        Settings file of the instance.
     """
 
     def __init__(self, settings: InstanceSettings, clock: Clock) -> None:
@@ -251,7 +251,7 @@
             self._run_orders,
         ]
 
-    # -- what the parts call back ---------------------------------------------------------------
+    # -- callbacks of the parts ----------------------------------------------------------------
 
     def _apply_config(self, offset: int, record: object) -> None:
         if isinstance(record, ConfigPublished | ConfigSnapshot):
@@ -266,12 +266,12 @@
             self._claims.on_record(offset, record)
 
     def _on_config(self) -> None:
-        # Counted here and not where it is used, which is after each request.
+        # Counted here, since it is used after each request.
         self._data_centres = max(1, len(data_centres(self._configuration.state.config)))
         self._ledger.on_config()
 
     def _on_peer_config(self, address: str, offset: int) -> None:
-        """Fetch a newer configuration of a peer, as after a start while the platform is out."""
+        """Fetch a peer's configuration if it is newer and the platform is unreachable."""
         behind = offset > self._configuration.state.offset
         if behind and self._log_health.failing_s() > 0 and address not in self._fetching:
             self._fetching.add(address)
@@ -311,11 +311,11 @@
         self._configuration.snapshot_if_due(self._config_writer, names.index(self.me.name), now_s)
 
     def _ready_to_lead(self) -> bool:
-        """Whether peers were probed and the streams read, so that epochs are not opened blindly."""
+        """Whether peers were probed and streams read, without which no epoch may be opened."""
         return self._heartbeats.probed and all(reader.is_caught_up for reader in self._readers)
 
     async def _keep_running(self, loop: Callable[[], Awaitable[None]]) -> None:
-        """Run a background loop; a fault in one must not end the instance and all its streams."""
+        """Run a background loop, restarted on errors so that they do not end the instance."""
         while True:
             try:
                 await loop()
@@ -328,7 +328,7 @@
         config.bind = [self._settings.listen.callers]
         config.accesslog = None
         config.errorlog = None
-        # Requests were drained before `stop`: what is left are idle connections.
+        # Requests were drained before `stop`: only idle connections remain.
         config.graceful_timeout = _CLOSE_S
         config.keep_alive_timeout = 75.0
         app = make_app(self._context, self._claims)
@@ -336,11 +336,11 @@
         served.set()
 
     async def _drain(self) -> None:
-        """Stop gracefully: no new work, running answers end, epochs and bills go to the log."""
+        """Stop gracefully: refuse new work, finish running answers, append epochs and bills."""
         self._context.activity.leaving = True
         self._membership.is_stopping = True
-        # The balancer sends on until it has looked at /health again: refusing at once would be
-        # a refusal that a planned stop need not cost.
+        # The balancer sends requests until its next check of /health. They are served until then,
+        # so that a planned stop costs no refusals.
         await self._clock.sleep(self._settings.timing.lame_duck_s)
         self._context.activity.stopping = True
         emit(Event.INSTANCE_STOPPING, running=self._context.activity.running)
--- a/mothstand/entry/intents.py
+++ b/mothstand/entry/intents.py
@@ -1,4 +1,4 @@
-"""Claims in the log: a keyed call that must not be repeated is dispatched by one instance only."""
+"""Claims in the log, so that only one instance dispatches a keyed call that must not repeat."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
     from ..log.writer import LogWriter
     from ..types import Member
 
-#: Longest wait for a claim to come back from the log.
+#: Maximum wait until a claim is read back from the log.
 CLAIM_WAIT_S = 2.0
 
 
 class IntentClaims:
-    """Claims keys in the ``intents`` stream and reads back who won.
+    """Claims keys in the ``intents`` stream and reads back which claim came first.
 
     Parameters
     ----------
@@ -47,15 +47,15 @@
         self._progress = anyio.Event()
 
     async def claim(self, request_key: str, body_digest: str) -> Intent:
-        """Return who holds the key's only run.
+        """Return the claim that holds the key.
 
-        Only if `is_mine` says so of the returned claim may the request be dispatched.
+        The request may be dispatched only if `is_held_locally` is true for the returned claim.
 
         Raises
         ------
         RefusedError
-            ``PLATFORM_UNREACHABLE`` when the log does not bring the claim back in time; nothing
-            was dispatched then, and nothing will be under this claim.
+            ``PLATFORM_UNREACHABLE`` if the claim is not read back in time; nothing has been or
+            will be dispatched under this claim then. ``KEY_RUNNING`` if it is being claimed here.
         """
         known = self.fold.find(request_key)
         if known is not None:
@@ -73,13 +73,13 @@
         return intent.owner == self._me and intent.status is None
 
     def end(self, request_key: str, status: int) -> None:
-        """Say in the log how the run ended."""
+        """Append the status with which the run ended."""
         self._writer.submit(
             lambda record_id: RunEnded(record_id=record_id, request_key=request_key, status=status)
         )
 
     def release(self, request_key: str) -> None:
-        """Free the key: nothing of the request has left this process."""
+        """Free the key of a request that did not run."""
         self._release(request_key)
 
     def _release(self, request_key: str) -> None:
@@ -104,7 +104,7 @@
                 return intent
             with anyio.move_on_after(left_s):
                 await progress.wait()
-        # The claim may still reach the log. It is released when it comes back, and until then
-        # this process refuses the key, so that nobody can dispatch under it.
+        # The claim may still reach the log. It is released when it is read back. Until then this
+        # process refuses the key, so that no request is dispatched under it.
         self._given_up.add(request_key)
         raise RefusedError(Refusal(ErrorKind.PLATFORM_UNREACHABLE))
--- a/mothstand/entry/metrics.py
+++ b/mothstand/entry/metrics.py
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True)
 class Metrics:
-    """What an instance counts; histograms are in microseconds."""
+    """Metrics of an instance; histograms are in microseconds."""
 
     counts: Counter[str] = field(default_factory=Counter)
     reserve_us: HdrHistogram = field(default_factory=new_histogram)
@@ -22,7 +22,7 @@
     whole_us: HdrHistogram = field(default_factory=new_histogram)
 
     def text(self) -> str:
-        """Return all figures as lines of name and value."""
+        """Return all metrics as lines of name and value."""
         lines = [f"mothstand_{name} {value}" for name, value in sorted(self.counts.items())]
         for name in ("reserve_us", "first_byte_us", "whole_us"):
             lines += metric_lines(name, getattr(self, name))
--- a/mothstand/entry/orders.py
+++ b/mothstand/entry/orders.py
@@ -1,4 +1,4 @@
-"""Keeps the data centre's engines at what the configuration says they should have loaded."""
+"""Orders the data centre's engines to load what the configuration assigns to them."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 
 class OrderIssuer:
-    """Looks at the engines that this instance orders, and orders what differs.
+    """Polls the engines that this instance orders, and sends orders where their setup differs.
 
     Parameters
     ----------
     writer
-        Appends to the orders' stream, for the audit trail.
+        Appends to the stream of orders, for the audit trail.
     look_every_s
-        Seconds between two looks at an engine.
+        Seconds between two polls of an engine.
     """
 
     def __init__(
@@ -49,13 +49,13 @@
         self._silent: set[str] = set()
 
     async def run(self) -> None:
-        """Look and order, again and again, until cancelled."""
+        """Poll and order at regular intervals, until cancelled."""
         while True:
             await self.look_at_all()
             await self._clock.sleep(self._look_every_s)
 
     async def look_at_all(self) -> None:
-        """Look once at each engine that this instance orders."""
+        """Poll once each engine that this instance orders."""
         state = self._config()
         now_s = self._clock.monotonic_s()
         alive = self._membership.local_alive(now_s)
@@ -74,7 +74,7 @@
                 emit(Event.ENGINE_SILENT, upstream=engine.name, error=str(error))
             return
         self._silent.discard(engine.name)
-        # Read again: both may have changed while the engine was looked at.
+        # Read again: both may have changed during the poll.
         state, now_s = self._config(), self._clock.monotonic_s()
         known = state.config.upstreams.get(engine.name)
         order = None if known is None else self._planner.decide(known, report, state, now_s)
--- a/mothstand/entry/services.py
+++ b/mothstand/entry/services.py
@@ -1,4 +1,4 @@
-"""Calls to plain services: a flat price, and at most one run where a call may not be repeated."""
+"""Calls to plain services, at a flat price; calls that must not repeat run at most once."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     from .intents import IntentClaims
     from .sinks import AnswerSink
 
-#: Largest answer of a plain service that is taken.
+#: Maximum size of a plain service's answer.
 MAX_ANSWER_BYTES = 10_000_000
 
 
@@ -68,7 +68,7 @@
         Raises
         ------
         RefusedError
-            Only while nothing of an answer has been sent.
+            Only if nothing of an answer has been sent.
         """
         choose_upstream(self._context, self._request, self._route(frozenset()))
         if self._once and self._request.keyed:
@@ -81,7 +81,7 @@
             await self._dispatch_claimed(charge, sink)
 
     def _check_claimed(self) -> None:
-        """Refuse early, before any reservation, what is known to have been claimed."""
+        """Refuse a request whose key is known to be claimed, before any reservation."""
         intent = self._claims.fold.find(self._request.request_id)
         if intent is None:
             return
@@ -90,7 +90,7 @@
         self._raise_known(intent)
 
     def _raise_known(self, intent: Intent) -> NoReturn:
-        """Refuse, or send to its owner, a key that was claimed before."""
+        """Refuse a key that was claimed before, or raise its owner for forwarding."""
         if intent.status == OUTCOME_UNKNOWN:
             raise RefusedError(Refusal(ErrorKind.OUTCOME_UNKNOWN, "under this key, before"))
         raise KnownKeyError(KnownKey(intent.owner.incarnation, intent.status is not None))
@@ -125,7 +125,7 @@
             except MayHaveRunError as error:
                 if not self._once:
                     raise
-                # The call may have had its effect, so it is billed and not tried again.
+                # The call may have had its effect, so it is billed and not retried.
                 charge.used_tokens = charge.bound_tokens
                 raise RefusedError(Refusal(ErrorKind.OUTCOME_UNKNOWN, str(error))) from error
 
--- a/mothstand/entry/sinks.py
+++ b/mothstand/entry/sinks.py
@@ -1,4 +1,4 @@
-"""Where an answer goes: straight to its caller, or kept so that retries can join it."""
+"""Sinks of answers: send to the caller, or retain the answer so that retries can join it."""
 
 from __future__ import annotations
 
@@ -13,31 +13,31 @@
 
 
 class AnswerSink(ABC):
-    """Takes one answer: a start, then its body in pieces, then the end."""
+    """Receives one answer: its start, its body in pieces, then its end."""
 
     started = False
 
     @abstractmethod
     async def start(self, status: int, headers: dict[str, str]) -> None:
-        """Take status and headers."""
+        """Accept status and headers."""
 
     @abstractmethod
     async def send(self, body: bytes) -> None:
-        """Take a piece of the body."""
+        """Accept a piece of the body."""
 
     @abstractmethod
     async def end(self) -> None:
-        """Take the end."""
+        """Accept the end of the answer."""
 
     async def send_whole(self, status: int, headers: dict[str, str], body: bytes) -> None:
-        """Take an answer in one piece."""
+        """Accept a complete answer."""
         await self.start(status, {**headers, "content-length": str(len(body))})
         await self.send(body)
         await self.end()
 
 
 class CallerSink(AnswerSink):
-    """Sends straight to the caller; a slow caller slows the upstream, nothing piles up here."""
+    """Sends to the caller directly; a slow caller slows the upstream, since nothing is buffered."""
 
     def __init__(self, send: Send) -> None:
         self._send = send
@@ -53,13 +53,13 @@
         await self._send({"type": "http.response.body", "body": body, "more_body": True})
 
     async def end(self) -> None:
-        """Send the end."""
+        """Send the end of the answer."""
         await self._send({"type": "http.response.body", "body": b"", "more_body": False})
 
 
 @dataclass(slots=True)
 class KeptAnswer:
-    """An answer under an idempotency key, running or finished."""
+    """An answer retained under an idempotency key, running or finished."""
 
     body_digest: str
     status: int = 0
@@ -80,7 +80,7 @@
         await self._more.wait()
 
     async def follow(self, send: Send) -> None:
-        """Send the whole answer to a caller, from its start, waiting for what is to come."""
+        """Send the answer to a caller from its start, waiting for further pieces to its end."""
         while not self.status:
             await self.wait()
         sink = CallerSink(send)
@@ -97,39 +97,39 @@
 
 
 class KeepingSink(AnswerSink):
-    """Keeps the answer for its followers."""
+    """Retains the answer for its followers."""
 
     def __init__(self, kept: KeptAnswer) -> None:
         self._kept = kept
 
     async def start(self, status: int, headers: dict[str, str]) -> None:
-        """Keep status and headers."""
+        """Retain status and headers."""
         self.started = True
         self._kept.status = status
         self._kept.headers = headers
         self._kept.announce()
 
     async def send(self, body: bytes) -> None:
-        """Keep a piece of the body."""
+        """Retain a piece of the body."""
         self._kept.pieces.append(body)
         self._kept.size_bytes += len(body)
         self._kept.announce()
 
     async def end(self) -> None:
-        """Keep the end."""
+        """Mark the answer as finished."""
         self._kept.finished = True
         self._kept.announce()
 
 
 class AnswerStore:
-    """The kept answers of one instance.
+    """The retained answers of an instance.
 
     Parameters
     ----------
     most_bytes
-        Finished answers are dropped, oldest first, above this.
+        Finished answers are dropped, oldest first, while the total size is above this.
     kept_s
-        Finished answers are dropped after this.
+        Finished answers are dropped after this many seconds.
     """
 
     def __init__(self, *, most_bytes: int = 8_000_000, kept_s: float = 600.0) -> None:
@@ -150,11 +150,11 @@
         return kept
 
     def drop(self, request_id: str) -> None:
-        """Forget an answer, so that a retry is a new request."""
+        """Drop an answer, so that a retry is a new request."""
         self._answers.pop(request_id, None)
 
     def expire(self, now_s: float) -> None:
-        """Drop finished answers that are too old or too many."""
+        """Drop finished answers that are too old or exceed the size limit."""
         size_bytes = sum(kept.size_bytes for kept in self._answers.values())
         for request_id, kept in list(self._answers.items()):
             if not kept.finished:
--- a/mothstand/ledger/escrow_agent.py
+++ b/mothstand/ledger/escrow_agent.py
@@ -134,7 +134,7 @@
                 self.ask(budget)
 
     def ask(self, budget: BudgetName) -> None:
-        """Ask for escrow of a budget if it runs low, and of other low budgets in the same record."""
+        """Ask for escrow of a budget if it runs low, and of other low budgets along with it."""
         leading = self._state.leading()
         if leading is None:
             return
@@ -215,7 +215,7 @@
         )
 
     def _may_move_others(self, budget: BudgetName, view: EscrowView) -> bool:
-        """Return whether to ask though the log has too little: other data centres may return some."""
+        """Return whether an unfulfilled ask is worth it: other data centres may return tokens."""
         if view.needed_tokens <= view.free_tokens or not self._state.elsewhere(budget):
             return False
         now_s = self._state.context.clock.monotonic_s()
@@ -255,7 +255,7 @@
         self.return_tokens(budget, tokens, leading[1].main_lane)
 
     def _give_way(self, leading: tuple[EpochState, HolderAccount], budget: BudgetName) -> None:
-        """Return all free tokens, the allowance included: every data centre holds only a remainder."""
+        """Return all free tokens, the allowance too: every data centre holds only a remainder."""
         epoch_state, account = leading
         grant = epoch_state.grants[budget]
         for lane in Lane:
--- a/mothstand/ledger/service.py
+++ b/mothstand/ledger/service.py
@@ -199,7 +199,7 @@
         try:
             await self._context.calls.posted(address, tickets, timeout_s=1.0)
         except PeerError:
-            # The holder may then bill for this instance once it is dead; duplicate bills are dropped.
+            # The holder may bill again once this instance is dead; the duplicate is dropped.
             return
 
     def _bill(self, line: BillLine) -> None:
@@ -227,7 +227,7 @@
         return NotHolder("")
 
     def _likely_holders(self, shard: Shard) -> list[str]:
-        """Return addresses to try: the epoch's holder and witness, then others by rendezvous rank."""
+        """Return addresses to try: the epoch's holder and witness, then by rendezvous."""
         current = self.shards[shard].state.current()
         named = []
         if current is not None:
--- a/mothstand/ledger/shard.py
+++ b/mothstand/ledger/shard.py
@@ -194,7 +194,7 @@
             self.state.requests.finish(settled.reservation.request_id, now_s)
 
     def _report_closed(self, epoch: Epoch) -> None:
-        """Append the spend of this instance's sides of an epoch, if it changed since the last append."""
+        """Append the spend of this instance's sides of an epoch, if it has changed."""
         if epoch not in self.state.fold.epochs:
             return
         for side, account in self._sides(epoch):
--- a/mothstand/tests/test_data_centres.py
+++ b/mothstand/tests/test_data_centres.py
@@ -1,4 +1,4 @@
-"""Failures across data centres, and racing operators, with real processes."""
+"""Tests failures across data centres and concurrent operators, with real processes."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
     folder = write_folder(tmp_path / "folder", fleet, paid_tokens={"lund": 20_000})
     assert fleet.publish(folder).returncode == 0
     fleet.wait_ready(*INSTANCES)
-    # The first instance up opens its epochs alone; a test that kills one counts on its witness.
+    # The first instance up opens its epochs without a witness, which tests that kill one need.
     wait_until(lambda: all_witnessed(fleet, data_centres=2), "no witnessed epochs")
     for name in INSTANCES:
         wait_until(lambda n=name: chat(fleet.processes[n].url).status_code == 200, name)
@@ -51,7 +51,7 @@
 
 
 def effects(fleet: Fleet, body: str) -> int:
-    """Return how often a call had its effect, at all services."""
+    """Return how often a call had its effect, over all services."""
     journals = [fleet.journal("renewer-a"), fleet.journal("renewer-b")]
     return sum(entry["body"] == body for journal in journals for entry in journal)
 
@@ -60,18 +60,18 @@
     def test_cut_data_centre_and_the_rest_spend_one_budget(
         self, places: Fleet, tmp_path: Path
     ) -> None:
-        """Symptom: a data centre that is cut off and the others spend the same tokens.
+        """Guards against tokens that a data centre without the platform and the others both spend.
 
-        Sequence: both spend from one small budget, one is cut off from the platform, the operator
-        tops up, the budget runs dry on both sides, the cut ends.
-        Cause it guards against: a grant that a cut data centre still spends being given to others.
+        Both spend one small budget, one is cut off from the platform, the operator tops up, the
+        budget is exhausted on both sides and the cut ends. A grant that the cut data centre still
+        spends must not be granted to others.
         """
         with Load(urls(places, *INSTANCES), callers=8, pause_s=0.005, max_tokens=16) as load:
             time.sleep(1.0)
             places.set_faults("platform", mode="down", callers=["sto-a-1", "sto-a-2"])
             time.sleep(2.0)
             folder = write_folder(tmp_path / "folder", places, paid_tokens={"lund": 24_000})
-            # Cut off from the platform only, it gets the configuration from its peers elsewhere.
+            # Cut off from the platform only, it gets the configuration from remote peers.
             assert places.publish(folder).returncode == 0
             wait_until(lambda: load.count(CallOutcome.REFUSED) > 30, "the budget runs dry", 60.0)
             places.set_faults("platform", mode="ok")
@@ -82,10 +82,10 @@
         assert kinds <= {"budget_exhausted", "budget_reserved", "budget_out_of_reach"}
 
     def test_leaseholder_dies_inside_a_cut(self, places: Fleet) -> None:
-        """Symptom: a cut data centre serves nobody after one of its two instances has died.
+        """Guards against a data centre that serves no requests after one of its two instances dies.
 
-        Sequence: cut from the platform, kill of the leaseholder, its witness promotes itself.
-        Cause it guards against: a takeover that only the log can bring about.
+        It is cut off from the platform and its leaseholder is killed. The witness must take over
+        without the log.
         """
         holder, witness = holder_of(places, LUND, DataCentre("sto-a"))
         places.set_faults("platform", mode="down", callers=["sto-a-1", "sto-a-2"])
@@ -97,7 +97,7 @@
             ),
             "the witness serves",
         )
-        # More than the witness may spend alone: the other data centre's leaseholder reserves it.
+        # More than the witness may spend alone: the remote leaseholder reserves it.
         large = chat(places.processes[witness].url, prompt="x", max_tokens=6_000)
         assert large.status_code == 200, large.text
         places.set_faults("platform", mode="ok")
@@ -110,14 +110,14 @@
     def test_next_data_centre_takes_what_is_too_much_here(
         self, places: Fleet, tmp_path: Path
     ) -> None:
-        """Symptom: students are refused while the next data centre's engines idle.
+        """Callers were refused while the next data centre's engines were idle.
 
-        Sequence: more callers at once in one data centre than its engine has slots.
-        Cause: engines elsewhere were used only when there was none here.
+        One data centre has more concurrent callers than its engine has slots. Remote engines were
+        used only if there was no local one.
         """
         folder = write_folder(tmp_path / "folder", places, slots=2)
         assert places.publish(folder).returncode == 0
-        # Slow enough that all requests are there at once.
+        # Slow enough that all requests run at the same time.
         places.set_faults("llm-a", mode="ok", token_delay_s=0.1)
         places.set_faults("llm-b", mode="ok", token_delay_s=0.02)
         with Load(urls(places, "sto-a-1"), callers=4, max_tokens=16, stream_share=1.0) as load:
@@ -142,11 +142,10 @@
         assert effects(places, "p1") == 1
 
     def test_router_paused_with_a_renewal(self, places: Fleet) -> None:
-        """Symptom: a pass is renewed twice.
+        """Guards against a call that runs twice.
 
-        Sequence: a router claims a renewal and is stopped, the clerk retries in the other data
-        centre, the router goes on.
-        Cause it guards against: a claim that lapses with the patience of others.
+        An instance claims a call and is paused, the caller retries in the other data centre, and
+        the instance resumes. The claim must not expire in between.
         """
         paused = places.processes["sto-a-1"]
 
@@ -173,10 +172,10 @@
 
 class TestOperators:
     def test_two_publish_from_one_base(self, places: Fleet, tmp_path: Path) -> None:
-        """Symptom: half of one operator's change and half of another's are in force.
+        """Guards against half of one operator's change in force with half of another's.
 
-        Sequence: Sato and Ito publish different folders at the same moment, several times.
-        Cause it guards against: accepting a change whose base has been replaced.
+        Two operators publish different folders at the same moment, several times. A change whose
+        base has been replaced must be refused.
         """
         for round_number in range(4):
             folders = {
--- a/mothstand/tests/test_escrow_agent.py
+++ b/mothstand/tests/test_escrow_agent.py
@@ -1,4 +1,4 @@
-"""Asking for escrow and giving it back, at one leaseholder with fakes round it."""
+"""Tests asks for escrow and its return, with one leaseholder and fakes."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
         self.agent = EscrowAgent(self.state, self.writer, lambda: None)  # type: ignore[arg-type]
 
     def returned(self) -> list[int]:
-        """Return the tokens of the queued returns."""
+        """Return the tokens of each queued return."""
         return [r.tokens for r in self.writer.queue if isinstance(r, EscrowReturned)]
 
 
@@ -66,10 +66,10 @@
 
 class TestReturning:
     def test_only_after_the_witness_has_acknowledged(self, leader: Leader) -> None:
-        """Symptom: tokens are spent here and again where they were given.
+        """Guards against tokens that are spent both here and where they were granted next.
 
-        Sequence: a return is appended, the leaseholder dies before its witness knows of it.
-        Cause it guards against: giving back what the witness still takes for free.
+        If the leaseholder dies before its witness knows of a return, the witness still counts the
+        tokens as free.
         """
         leader.agent.return_tokens(LUND, 300, Lane.WITNESSED)
         assert leader.returned() == []
@@ -77,10 +77,9 @@
         assert leader.returned() == [300]
 
     def test_rejected_return_is_forgotten(self, leader: Leader) -> None:
-        """Symptom: one data centre holds most of a budget while others wait for seconds.
+        """Guards against a data centre that holds most of a budget while others wait for seconds.
 
-        Sequence: the witness, which has not read the grant yet, rejects a return.
-        Cause it guards against: a return that counts as on its way for ever.
+        The witness has not read the grant yet and rejects the return, which must not stay pending.
         """
         leader.agent.return_tokens(LUND, 300, Lane.WITNESSED)
         assert leader.agent.returning_tokens(LUND) == 300
@@ -104,10 +103,10 @@
 
 class TestAsking:
     def test_unmet_asks_back_off(self, leader: Leader) -> None:
-        """Symptom: two appends for nearly every request at a budget's end.
+        """Guards against two appends for nearly every request at a budget's end.
 
-        Sequence: requests wait for tokens that another data centre may give back.
-        Cause it guards against: asking again at once after an ask that got nothing.
+        Requests wait for tokens that another data centre may return. An ask that got nothing must
+        not be repeated at once.
         """
         other = EpochOpened(
             RecordId("c:x", 1),
--- a/mothstand/tests/test_path.py
+++ b/mothstand/tests/test_path.py
@@ -1,4 +1,4 @@
-"""The whole path, as separate processes on loopback."""
+"""Tests requests from client to engine through separate processes on loopback."""
 
 from __future__ import annotations
 
@@ -64,10 +64,10 @@
         wait_until(lambda: billed_line(pair, "kushiro")[2] == "5", "kushiro's bill")
 
     def test_stop_cuts_no_stream(self, pair: Fleet) -> None:
-        """Symptom: a caller's stream breaks off during a planned stop of its instance.
+        """Guards against a stream that breaks off during a planned stop of its instance.
 
-        Sequence: a slow stream runs, SIGTERM arrives, the stream goes on.
-        Cause it guards against: closing connections before running answers have ended.
+        SIGTERM arrives while a slow stream runs. Connections may close only after running answers
+        have ended.
         """
         pair.set_faults("llm-a", token_delay_s=0.05)
         pair.set_faults("llm-b", token_delay_s=0.05)
--- a/mothstand/tests/test_remote_reserve.py
+++ b/mothstand/tests/test_remote_reserve.py
@@ -1,4 +1,4 @@
-"""Reservations at another data centre's leaseholder, with two leaseholders and fakes round them."""
+"""Tests reservations at another data centre's leaseholder, with two leaseholders and fakes."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
         self.calls: list[ReserveCall] = []
 
     async def reserve(self, address: str, call: ReserveCall, *, timeout_s: float) -> ReserveReply:
-        """Ask the peer."""
+        """Reserve at the peer, if it has not been removed."""
         self.calls.append(call)
         if address not in self.reservers:
             raise PeerError("gone")
@@ -46,7 +46,7 @@
 
 
 class TwoPlaces:
-    """Leaseholders `a` with 100 and `b` with 900 tokens of a budget of 1,000; nothing ungranted."""
+    """Leaseholders `a` with 100 and `b` with 900 tokens of a budget of 1,000, all of it granted."""
 
     def __init__(self) -> None:
         self.clock = FakeClock()
@@ -79,7 +79,7 @@
         reserver.attach(EscrowAgent(state, writer, reserver.want_mirror))  # type: ignore[arg-type]
 
     async def append(self) -> None:
-        """Let `b` append what it has queued, again and again."""
+        """Append what `b` has queued to its log, until cancelled."""
         offset = len(records()) + 1
         while True:
             await anyio.lowlevel.checkpoint()
@@ -95,19 +95,19 @@
         return self.peers.reservers[A.address]
 
     def beliefs(self) -> FakeMembership:
-        """Return whom `a` believes to be alive."""
+        """Return the membership view of `a`."""
         membership = self.states[A.name].context.membership
         assert isinstance(membership, FakeMembership)
         return membership
 
     def spent(self, name: str) -> int:
-        """Return what a leaseholder's account has spent or reserved."""
+        """Return the tokens spent or reserved in a leaseholder's account."""
         account = self.states[name].holders[EPOCHS[name]]
         return sum(spend.own_tokens for spend in account.budget_spends())
 
 
 def records() -> list[LedgerRecord]:
-    """Return the log of the shard."""
+    """Return the records of the shard's log."""
     return [
         BudgetPaid(RecordId("o", 1), LUND, 1000),
         EpochOpened(RecordId("seed:a", 1), SHARD, DataCentre("sto-a"), A, None, NO_EPOCH),
@@ -118,7 +118,7 @@
 
 
 def run(test: Callable[[TwoPlaces], Awaitable[None]]) -> None:
-    """Run a test on a loop of its own, with time moving on."""
+    """Run a test on its own event loop, with advancing fake time."""
 
     async def main() -> None:
         places = TwoPlaces()
@@ -131,7 +131,7 @@
 
 
 async def pass_time(clock: FakeClock) -> None:
-    """Let a little fake time pass with each turn of the loop."""
+    """Advance the fake clock with each turn of the loop."""
     while True:
         await anyio.lowlevel.checkpoint()
         clock.advance(0.01)
@@ -139,10 +139,9 @@
 
 class TestElsewhere:
     def test_other_data_centre_s_leaseholder_reserves(self) -> None:
-        """Symptom: a request that is paid for is refused, since its tokens are held elsewhere.
+        """A paid request was refused if another data centre held nearly all of the budget's rest.
 
-        Sequence: a budget nears its end; one data centre holds nearly all of the rest.
-        Cause: tokens had to move through the log before they could be spent here.
+        Tokens had to move through the log before they could be spent locally.
         """
 
         async def test(places: TwoPlaces) -> None:
@@ -166,11 +165,10 @@
         run(test)
 
     def test_it_asks_the_log_for_one_that_cannot(self) -> None:
-        """Symptom: a data centre that is cut off from the platform alone runs out of escrow.
+        """A data centre that alone was cut off from the platform ran out of escrow.
 
-        Sequence: a cut from the platform that is longer than the ride-through, or a leaseholder
-        that dies in it; the log has tokens, other data centres can reach it.
-        Cause: only what others held already could be reserved there.
+        The cut outlasts the ride-through, or a leaseholder dies in it. The log has tokens and other
+        data centres reach it, but only escrow that they already held could be reserved there.
         """
 
         async def test(places: TwoPlaces) -> None:
@@ -187,10 +185,10 @@
         run(test)
 
     def test_key_stays_known_here_until_the_request_ends(self) -> None:
-        """Symptom: a retry runs again, or is told for ever that its request still runs.
+        """Guards against a retry that runs again, or is always refused as still running.
 
-        Sequence: a keyed request is reserved elsewhere, retried while it runs, and ends.
-        Cause it guards against: a key that only the other data centre knows, or that nobody ends.
+        A keyed request is reserved remotely, retried while it runs, and ends. The local leaseholder
+        must know the key and its end.
         """
 
         async def test(places: TwoPlaces) -> None:
@@ -208,10 +206,10 @@
         run(test)
 
     def test_silent_data_centre_is_not_asked(self) -> None:
-        """Symptom: refusals come seconds late in a partition.
+        """Guards against refusals that come seconds late in a partition.
 
-        Sequence: the data centres are cut off from each other, a budget is short here.
-        Cause it guards against: waiting out a timeout to ask one who is not there.
+        The data centres cannot reach each other and the local escrow is short. No request may wait
+        for the timeout of a call to an unreachable leaseholder.
         """
 
         async def test(places: TwoPlaces) -> None:
@@ -232,10 +230,9 @@
         run(test)
 
     def test_who_is_asked_asks_no_third(self) -> None:
-        """Symptom: one request goes round all data centres again and again.
+        """Guards against a request that circulates between data centres.
 
-        Sequence: two data centres are both short and ask each other.
-        Cause it guards against: an ask from elsewhere treated as a request of its own.
+        Two data centres are both short and call each other. A remote call must not be passed on.
         """
 
         async def test(places: TwoPlaces) -> None:
--- a/mothstand/tests/test_requests.py
+++ b/mothstand/tests/test_requests.py
@@ -1,4 +1,4 @@
-"""Requests through real processes: keys, retries, at most once, whole answers, refusals."""
+"""Tests requests through real processes: keys, retries, at most once, streams, refusals."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @pytest.fixture(scope="module")
 def fleet(tmp_path_factory: pytest.TempPathFactory) -> Any:
-    """Return two instances in one data centre, shared by tests that break only stand-ins."""
+    """Return two instances in one data centre, shared by tests that inject faults in stand-ins."""
     folder = tmp_path_factory.mktemp("requests")
     with Fleet(folder) as fleet:
         fleet.start_platform()
@@ -48,7 +48,7 @@
 
 
 def set_engines(fleet: Fleet, **faults: Any) -> None:
-    """Make all engines fail alike."""
+    """Set the same faults for all engines."""
     for name in ENGINES:
         fleet.set_faults(name, **faults)
 
@@ -65,10 +65,9 @@
 
 class TestStreams:
     def test_truncated_stream_ends_as_an_error(self, fleet: Fleet) -> None:
-        """Symptom: half an answer passes for a whole one.
+        """Guards against half an answer that passes for a complete one.
 
-        Sequence: the engine ends the connection in mid-stream, without an end marker.
-        Cause it guards against: taking the end of the connection for the end of the answer.
+        The engine closes the connection in mid-stream without an end marker.
         """
         set_engines(fleet, mode="truncate")
         answer = chat(fleet.processes["sto-a-1"].url, stream=True, tokens_wanted=16)
@@ -79,10 +78,9 @@
         assert last["error"]["run_state"] == "may have run"
 
     def test_crossed_event_does_not_reach_the_caller(self, fleet: Fleet) -> None:
-        """Symptom: a student gets a piece of another's answer.
+        """Guards against a caller that gets a piece of another caller's answer.
 
-        Sequence: the engine sends a late event of another answer on this connection.
-        Cause it guards against: passing bytes on without looking at whose they are.
+        The engine sends a late event of another answer on this connection.
         """
         set_engines(fleet, mode="cross")
         answer = chat(fleet.processes["sto-a-1"].url, stream=True, tokens_wanted=16)
@@ -93,10 +91,9 @@
         assert right.startswith(got["text"])
 
     def test_disconnect_cancels_the_engine(self, fleet: Fleet) -> None:
-        """Symptom: an engine goes on generating for a caller that has left.
+        """Guards against an engine that keeps generating for a disconnected caller.
 
-        Sequence: the caller closes its connection in mid-stream.
-        Cause it guards against: a task that nobody cancels.
+        The caller closes its connection in mid-stream, which must cancel the task.
         """
         set_engines(fleet, mode="ok", token_delay_s=0.05)
         body = {
@@ -119,10 +116,10 @@
             assert chat(fleet.processes["sto-a-1"].url, prompt=f"p{number}").status_code == 200
 
     def test_engine_that_crashed_may_have_run(self, fleet: Fleet) -> None:
-        """Symptom: "not run" of a request that engines took and worked on.
+        """Guards against "not run" for a request that engines accepted and worked on.
 
-        Sequence: each engine that is tried takes the request and fails without an answer.
-        Cause it guards against: naming the end of the attempts in place of what they did.
+        Each engine accepts the request and fails without an answer. The answer must say what the
+        attempts may have done, not only that none is left.
         """
         set_engines(fleet, mode="crash")
         answer = chat(fleet.processes["sto-a-1"].url, prompt="crashes them all")
@@ -140,10 +137,9 @@
 
 class TestPriority:
     def test_priority_reaches_the_engine(self, fleet: Fleet) -> None:
-        """Symptom: a workspace of high priority waits in the engine behind others.
+        """Guards against a high-priority workspace that waits in the engine behind others.
 
-        Sequence: a caller sets a priority of its own in the body.
-        Cause it guards against: passing on the caller's in place of the workspace's.
+        A caller sets its own priority in the body, which must not replace the workspace's.
         """
         answer = chat(fleet.processes["sto-a-1"].url, prompt="me first", priority=-1000)
         assert answer.status_code == 200
@@ -160,10 +156,10 @@
         assert len(runs_of(fleet, "kept")) == 1
 
     def test_retry_through_another_instance_joins(self, fleet: Fleet) -> None:
-        """Symptom: a doubled reply inserts an entry twice.
+        """Guards against a doubled reply, by which a client inserts an entry twice.
 
-        Sequence: a slow answer runs at one instance, its caller asks again at the other.
-        Cause it guards against: knowing keys only where they were first seen.
+        A slow answer runs at one instance and its caller retries at the other, which must know the
+        key too.
         """
         set_engines(fleet, mode="ok", token_delay_s=0.02)
         answers: list[httpx.Response] = []
@@ -219,11 +215,9 @@
         assert effects_of(fleet, "pass 1") == 1
 
     def test_lost_answer_is_outcome_unknown(self, fleet: Fleet) -> None:
-        """Symptom: a pass is renewed twice, or a clerk hears "not run" of a renewal that ran.
+        """Guards against a call that runs twice, or is reported as "not run" though it ran.
 
-        Sequence: the service has its effect, the connection breaks, the clerk asks again, here
-        and at the other instance.
-        Cause it guards against: repeating, or calling not run, what may have run.
+        The service has its effect, the connection breaks, and the caller retries at both instances.
         """
         fleet.set_faults("renewer-a", mode="lose")
         url = fleet.processes["sto-a-1"].url
@@ -254,10 +248,9 @@
         assert effects_of(fleet, "pass 3") == 1
 
     def test_platform_out_refuses_as_not_run(self, fleet: Fleet) -> None:
-        """Symptom: a renewal runs in two data centres that cannot see each other.
+        """Guards against a call that runs in two data centres that cannot reach each other.
 
-        Sequence: the log is out, a clerk sends a renewal.
-        Cause it guards against: dispatching without the claim that the log decides.
+        The log is unreachable, so no claim is decided and the call must not be dispatched.
         """
         fleet.set_faults("platform", mode="down", callers=["sto-a-1"])
         url = fleet.processes["sto-a-1"].url
@@ -275,10 +268,10 @@
         assert effects_of(fleet, "pass 4") == 1
 
     def test_router_dies_while_the_renewal_runs(self, empty_fleet: Fleet, tmp_path: Path) -> None:
-        """Symptom: a pass is renewed twice after a router died.
+        """Guards against a call that runs twice after its instance died.
 
-        Sequence: a router dispatches a renewal and is killed, the clerk retries at another one.
-        Cause it guards against: a claim that dies with its holder.
+        An instance dispatches a call and is killed, and the caller retries at another one. The
+        claim must outlive its holder.
         """
         fleet = empty_fleet
         fleet.start_service("renewer-a", "sto-a")
@@ -312,10 +305,10 @@
 
 class TestLeaving:
     def test_upstream_said_to_leave_gets_nothing_new(self, fleet: Fleet) -> None:
-        """Symptom: a leaving upstream gets new work and cuts it.
+        """Guards against new work for a draining upstream, which would break it off.
 
-        Sequence: the platform's list says that an engine leaves.
-        Cause it guards against: routing by the configuration alone.
+        The platform's list marks an engine as draining. Routing must not use the configuration
+        alone.
         """
         listed = httpx.get(f"{fleet.platform.url}/instances", trust_env=False).json()
         leaving = {"name": "llm-a", "address": "", "data_centre": "sto-a", "leaving": True}
--- a/mothstand/tests/test_resume.py
+++ b/mothstand/tests/test_resume.py
@@ -1,4 +1,4 @@
-"""Streams whose engine fails in the middle, and the engines that go on with them."""
+"""Tests streams whose engine fails in the middle and that other engines continue."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @pytest.fixture
 def fleet(empty_fleet: Fleet, tmp_path: Path) -> Fleet:
-    """Return one instance before three engines that go on with each other's answers."""
+    """Return one instance with three engines that can continue each other's answers."""
     for name in ENGINES:
         empty_fleet.start_engine(name, "sto-a", token_delay_s=0.01)
     empty_fleet.start_instance("sto-a-1", "sto-a")
@@ -37,7 +37,7 @@
 
 
 def streamed(fleet: Fleet, **extra: Any) -> tuple[dict[str, Any], str]:
-    """Return what a caller makes of a stream of 16 tokens, and the stream itself."""
+    """Return the parsed answer to a request for 16 streamed tokens, and the raw stream."""
     answer = chat(
         fleet.processes["sto-a-1"].url,
         prompt=PROMPT,
@@ -50,7 +50,7 @@
 
 
 def second_tries(fleet: Fleet) -> list[dict[str, Any]]:
-    """Return the journal lines of requests that an earlier engine has failed."""
+    """Return the engines' journal lines of second attempts."""
     runs = [entry for name in ENGINES for entry in fleet.journal(name)]
     return [entry for entry in runs if entry["request_id"].endswith("/2")]
 
@@ -58,10 +58,9 @@
 class TestResume:
     @pytest.mark.parametrize("mode", ["truncate", "cross"])
     def test_another_engine_goes_on(self, fleet: Fleet, mode: str) -> None:
-        """Symptom: a student has half a bibliography, or a piece of another's.
+        """Guards against half an answer, or a piece of another caller's, after an engine's fault.
 
-        Sequence: the engine that affinity chooses breaks off, or sends an event of another answer.
-        Cause it guards against: one engine's fault taken for the end of the answer.
+        The engine that affinity chooses breaks off, or sends an event of another answer.
         """
         fleet.set_faults("llm-a", mode=mode)
         fleet.set_faults("llm-b", mode=mode)
@@ -82,10 +81,9 @@
         assert "".join(answer_tokens(PROMPT, 16)).startswith(got["text"])
 
     def test_answer_under_a_grammar_is_not_gone_on_with(self, fleet: Fleet) -> None:
-        """Symptom: two halves of JSON that make no whole.
+        """Guards against two halves of JSON that do not form a valid document.
 
-        Sequence: an answer in a response format is cut, an engine goes on under a new grammar.
-        Cause it guards against: taking the text for all that an engine needs to know.
+        An answer in a response format breaks off. Another engine would start the grammar anew.
         """
         for name in ENGINES:
             fleet.set_faults(name, mode="truncate")
@@ -93,10 +91,9 @@
         assert second_tries(fleet) == []
 
     def test_killed_engine_under_load(self, fleet: Fleet) -> None:
-        """Symptom: answers break off, or are billed twice or for both engines' prompts.
+        """Guards against answers that break off, or are billed twice or for both engines' prompts.
 
-        Sequence: callers stream from three engines, one is killed.
-        Cause it guards against: a cut stream that is not gone on with, or gone on with wrongly.
+        Callers stream from three engines and one is killed. Its streams must be continued.
         """
         urls = [fleet.processes["sto-a-1"].url]
         with Load(lambda: urls, callers=12, max_tokens=16, stream_share=1.0) as load:
