--- a/mothstand/ledger/calls.py
+++ b/mothstand/ledger/calls.py
@@ -33,8 +33,8 @@
     budget: BudgetName
     bound_tokens: int
     owner: str
-    keyed: bool
-    away: bool = False
+    is_keyed: bool
+    is_from_remote: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,7 +53,7 @@
     number: int
     holder: str
     witness: str
-    home: str = ""
+    key_holder: str = ""
 
 
 @dataclass(frozen=True, slots=True)
@@ -71,7 +71,7 @@
     """Reply for an idempotency key in use; `owner` is the incarnation that runs or ran it."""
 
     owner: str
-    finished: bool
+    is_finished: bool
 
 
 ReserveReply = Ticket | Refusal | NotHolder | KnownKey
@@ -97,5 +97,7 @@
         """Report a request's usage; return whether the instance accepted it."""
 
     @abstractmethod
-    async def posted(self, address: str, tickets: tuple[Ticket, ...], *, timeout_s: float) -> None:
+    async def report_posted(
+        self, address: str, tickets: tuple[Ticket, ...], *, timeout_s: float
+    ) -> None:
         """Report that the bills of these reservations are in the log."""
--- a/mothstand/tests/test_data_centres.py
+++ b/mothstand/tests/test_data_centres.py
@@ -25,14 +25,14 @@
 
 
 @pytest.fixture
-def places(empty_fleet: Fleet, tmp_path: Path) -> Fleet:
+def fleet(empty_fleet: Fleet, tmp_path: Path) -> Fleet:
     """Return two data centres with two instances, an engine and a service each."""
     fleet = empty_fleet
-    for place in ("a", "b"):
-        fleet.start_engine(f"llm-{place}", f"sto-{place}")
-        fleet.start_service(f"renewer-{place}", f"sto-{place}")
+    for site in ("a", "b"):
+        fleet.start_engine(f"llm-{site}", f"sto-{site}")
+        fleet.start_service(f"renewer-{site}", f"sto-{site}")
     for name in INSTANCES:
-        fleet.start_instance(name, name[:5], listed=False)
+        fleet.start_instance(name, name[:5], is_listed=False)
     fleet.publish_list()
     folder = write_folder(tmp_path / "folder", fleet, paid_tokens={"lund": 20_000})
     assert fleet.publish(folder).returncode == 0
@@ -57,8 +57,8 @@
 
 
 class TestCuts:
-    def test_cut_data_centre_and_the_rest_spend_one_budget(
-        self, places: Fleet, tmp_path: Path
+    def test_budget_is_not_overspent_across_a_platform_cut(
+        self, fleet: Fleet, tmp_path: Path
     ) -> None:
         """Guards against tokens that a data centre without the platform and the others both spend.
 
@@ -66,88 +66,84 @@
         budget is exhausted on both sides and the cut ends. A grant that the cut data centre still
         spends must not be granted to others.
         """
-        with Load(urls(places, *INSTANCES), callers=8, pause_s=0.005, max_tokens=16) as load:
+        with Load(urls(fleet, *INSTANCES), callers=8, pause_s=0.005, max_tokens=16) as load:
             time.sleep(1.0)
-            places.set_faults("platform", mode="down", callers=["sto-a-1", "sto-a-2"])
+            fleet.set_faults("platform", mode="down", callers=["sto-a-1", "sto-a-2"])
             time.sleep(2.0)
-            folder = write_folder(tmp_path / "folder", places, paid_tokens={"lund": 24_000})
+            folder = write_folder(tmp_path / "folder", fleet, paid_tokens={"lund": 24_000})
             # Cut off from the platform only, it gets the configuration from remote peers.
-            assert places.publish(folder).returncode == 0
+            assert fleet.publish(folder).returncode == 0
             wait_until(lambda: load.count(CallOutcome.REFUSED) > 30, "the budget runs dry", 60.0)
-            places.set_faults("platform", mode="ok")
+            fleet.set_faults("platform", mode="ok")
             time.sleep(3.0)
-        view = check_history(places, load, paid_tokens=24_000)
+        view = check_history(fleet, load, paid_tokens=24_000)
         assert all(fold.ungranted_tokens(LUND) >= 0 for fold in view.ledgers.values())
         kinds = {record.kind for record in load.records if record.outcome is CallOutcome.REFUSED}
         assert kinds <= {"budget_exhausted", "budget_reserved", "budget_out_of_reach"}
 
-    def test_leaseholder_dies_inside_a_cut(self, places: Fleet) -> None:
+    def test_witness_serves_when_leaseholder_dies_in_a_platform_cut(self, fleet: Fleet) -> None:
         """Guards against a data centre that serves no requests after one of its two instances dies.
 
         It is cut off from the platform and its leaseholder is killed. The witness must take over
         without the log.
         """
-        holder, witness = holder_of(places, LUND, DataCentre("sto-a"))
-        places.set_faults("platform", mode="down", callers=["sto-a-1", "sto-a-2"])
+        holder, witness = holder_of(fleet, LUND, DataCentre("sto-a"))
+        fleet.set_faults("platform", mode="down", callers=["sto-a-1", "sto-a-2"])
         time.sleep(2.5)
-        places.processes[holder].kill()
+        fleet.processes[holder].kill()
         wait_until(
-            lambda: (
-                chat(places.processes[witness].url, prompt="x", max_tokens=2).status_code == 200
-            ),
+            lambda: chat(fleet.processes[witness].url, prompt="x", max_tokens=2).status_code == 200,
             "the witness serves",
         )
         # More than the witness may spend alone: the remote leaseholder reserves it.
-        large = chat(places.processes[witness].url, prompt="x", max_tokens=6_000)
+        large = chat(fleet.processes[witness].url, prompt="x", max_tokens=6_000)
         assert large.status_code == 200, large.text
-        places.set_faults("platform", mode="ok")
+        fleet.set_faults("platform", mode="ok")
         time.sleep(2.0)
-        answer = chat(places.processes[witness].url)
+        answer = chat(fleet.processes[witness].url)
         assert answer.status_code == 200, answer.text
 
 
 class TestOverflow:
-    def test_next_data_centre_takes_what_is_too_much_here(
-        self, places: Fleet, tmp_path: Path
-    ) -> None:
+    def test_overflow_goes_to_the_next_data_centre(self, fleet: Fleet, tmp_path: Path) -> None:
         """Callers were refused while the next data centre's engines were idle.
 
         One data centre has more concurrent callers than its engine has slots. Remote engines were
         used only if there was no local one.
         """
-        folder = write_folder(tmp_path / "folder", places, slots=2)
-        assert places.publish(folder).returncode == 0
+        folder = write_folder(tmp_path / "folder", fleet, slots=2)
+        assert fleet.publish(folder).returncode == 0
         # Slow enough that all requests run at the same time.
-        places.set_faults("llm-a", mode="ok", token_delay_s=0.1)
-        places.set_faults("llm-b", mode="ok", token_delay_s=0.02)
-        with Load(urls(places, "sto-a-1"), callers=4, max_tokens=16, stream_share=1.0) as load:
+        fleet.set_faults("llm-a", mode="ok", token_delay_s=0.1)
+        fleet.set_faults("llm-b", mode="ok", token_delay_s=0.02)
+        with Load(urls(fleet, "sto-a-1"), callers=4, max_tokens=16, stream_share=1.0) as load:
             time.sleep(4.0)
-        served_elsewhere = {entry["request_id"] for entry in places.journal("llm-b")}
-        whole = [record for record in load.records if record.outcome is CallOutcome.WHOLE]
+        served_elsewhere = {entry["request_id"] for entry in fleet.journal("llm-b")}
+        whole = [record for record in load.records if record.outcome is CallOutcome.COMPLETE]
         assert any(f"{record.request_id}/1" in served_elsewhere for record in whole)
         assert any(f"{record.request_id}/1" not in served_elsewhere for record in whole)
-        check_history(places, load, paid_tokens=20_000)
+        check_history(fleet, load, paid_tokens=20_000)
 
 
 class TestAtMostOnce:
-    def test_retry_in_another_data_centre_does_not_renew_again(self, places: Fleet) -> None:
+    def test_retry_in_another_data_centre_does_not_renew_again(self, fleet: Fleet) -> None:
         first = call_service(
-            places.processes["sto-a-1"].url, "renew", body="p1", idempotency_key="p1"
+            fleet.processes["sto-a-1"].url, "renew", body="p1", idempotency_key="p1"
         )
         again = call_service(
-            places.processes["sto-b-1"].url, "renew", body="p1", idempotency_key="p1"
+            fleet.processes["sto-b-1"].url, "renew", body="p1", idempotency_key="p1"
         )
         assert first.status_code == 200
         assert again.status_code in (200, 409, 410)
-        assert effects(places, "p1") == 1
+        assert effects(fleet, "p1") == 1
 
-    def test_router_paused_with_a_renewal(self, places: Fleet) -> None:
+    def test_call_of_a_paused_instance_does_not_run_again(self, fleet: Fleet) -> None:
         """Guards against a call that runs twice.
 
         An instance claims a call and is paused, the caller retries in the other data centre, and
         the instance resumes. The claim must not expire in between.
         """
-        paused = places.processes["sto-a-1"]
+        paused = fleet.processes["sto-a-1"]
 
         def renew() -> None:
             try:
@@ -161,17 +157,17 @@
         paused.pause()
         for _ in range(3):
             answer = call_service(
-                places.processes["sto-b-1"].url, "renew", body="p2", idempotency_key="p2"
+                fleet.processes["sto-b-1"].url, "renew", body="p2", idempotency_key="p2"
             )
             assert answer.status_code == 200 or answer.json()["error"]["run_state"] != "ran"
             time.sleep(0.3)
         paused.resume()
         thread.join()
-        assert effects(places, "p2") == 1
+        assert effects(fleet, "p2") == 1
 
 
 class TestOperators:
-    def test_two_publish_from_one_base(self, places: Fleet, tmp_path: Path) -> None:
+    def test_concurrent_publishes_are_not_mixed(self, fleet: Fleet, tmp_path: Path) -> None:
         """Guards against half of one operator's change in force with half of another's.
 
         Two operators publish different folders at the same moment, several times. A change whose
@@ -181,7 +177,7 @@
             folders = {
                 name: write_folder(
                     tmp_path / f"{name}-{round_number}",
-                    places,
+                    fleet,
                     paid_tokens={
                         "lund": 80_000 + 10 * round_number + step,
                         "kushiro": 2_000_000 + 10 * round_number + step,
@@ -192,8 +188,8 @@
             codes: dict[str, int] = {}
 
             def publish(name: str, folder: Path, codes: dict[str, int] = codes) -> None:
-                settings = places.operator_settings(name)
-                done = places.run_command("publish", str(folder), f"--settings={settings}")
+                settings = fleet.operator_settings(name)
+                done = fleet.run_command("publish", str(folder), f"--settings={settings}")
                 codes[name] = done.returncode
 
             threads = [
@@ -206,5 +202,5 @@
                 thread.join()
             assert set(codes.values()) <= {0, 3}
             assert 0 in codes.values()
-            budgets = view_of(places).config.state.config.budgets
+            budgets = view_of(fleet).config.state.config.budgets
             assert budgets[LUND].paid_tokens % 10 == budgets["kushiro"].paid_tokens % 10  # type: ignore[index]
