--- a/mothstand/entry/app.py
+++ b/mothstand/entry/app.py
@@ -151,23 +151,23 @@
         known: list[KnownKey] = []
 
         async def produce() -> None:
-            keeping = RetainingSink(answer)
+            retaining_sink = RetainingSink(answer)
             # A stop waits for the run even if its caller has disconnected.
             self._context.activity.running_requests += 1
             try:
-                await run.run(keeping)
+                await run.run(retaining_sink)
             except KnownKeyError as error:
                 known.append(error.known)
                 self._context.answers.drop(caller_request.request_id)
-                await keeping.end()
+                await retaining_sink.end()
             except RefusedError as error:
                 # Not retained: the key may be used again, unless the request may have run.
                 self._context.answers.drop(caller_request.request_id)
-                await self._retain_refusal(keeping, error.refusal)
+                await self._retain_refusal(retaining_sink, error.refusal)
             except Exception as error:
                 emit(Event.INTERNAL_ERROR, error=repr(error))
                 self._context.answers.drop(caller_request.request_id)
-                await self._retain_refusal(keeping, Refusal(ErrorKind.INTERNAL))
+                await self._retain_refusal(retaining_sink, Refusal(ErrorKind.INTERNAL))
             finally:
                 self._context.activity.running_requests -= 1
             if not answer.status:
--- a/mothstand/entry/chat_body.py
+++ b/mothstand/entry/chat_body.py
@@ -90,7 +90,7 @@
         Number of tokens that the engine may still generate.
     priority
         The workspace's priority; the engine runs waiting requests of the highest priority first.
-    text_so_far
+    partial_text
         Part of the answer that another engine has generated, for this one to continue.
     """
     value: dict[str, Any] = json.loads(body)
--- a/mothstand/entry/context.py
+++ b/mothstand/entry/context.py
@@ -40,9 +40,9 @@
     request_id
         Id in the ledger and in the bills: derived from workspace, path and idempotency key, so
         that a retry has the same id, or else random.
-    keyed
+    is_keyed
         Whether the caller sent an idempotency key.
-    forwarded
+    is_forwarded
         Whether another instance forwarded it. It is not forwarded again.
     """
 
@@ -64,9 +64,9 @@
 
     Parameters
     ----------
-    leaving
+    is_stop_announced
         The balancer should send no more requests; those that arrive are still served.
-    stopping
+    is_refusing
         Requests that arrive are refused.
     """
 
--- a/mothstand/entry/orders.py
+++ b/mothstand/entry/orders.py
@@ -25,7 +25,7 @@
     ----------
     writer
         Appends to the stream of orders, for the audit trail.
-    look_every_s
+    poll_interval_s
         Seconds between two polls of an engine.
     """
 
--- a/mothstand/entry/sinks.py
+++ b/mothstand/entry/sinks.py
@@ -126,9 +126,9 @@
 
     Parameters
     ----------
-    most_bytes
+    max_bytes
         Finished answers are dropped, oldest first, while the total size is above this.
-    kept_s
+    retention_s
         Finished answers are dropped after this many seconds.
     """
 
--- a/mothstand/ledger/calls.py
+++ b/mothstand/ledger/calls.py
@@ -21,9 +21,9 @@
     ----------
     owner
         Incarnation of the instance that will run the request.
-    keyed
+    is_keyed
         Whether `request_id` is derived from the caller's idempotency key, so that it may recur.
-    away
+    is_from_remote
         Whether another data centre's leaseholder sent the call: it is answered at once and not
         passed on to a third one.
     """
@@ -43,7 +43,7 @@
 
     Parameters
     ----------
-    home
+    key_holder
         Address of the local leaseholder, which indexes the request's key, if another data centre
         holds the reservation; else empty.
     """
--- a/mothstand/ledger/escrow_agent.py
+++ b/mothstand/ledger/escrow_agent.py
@@ -66,7 +66,7 @@
 
     Parameters
     ----------
-    want_mirror
+    request_mirror
         Called when there is a new reservation to send to the witness.
     """
 
--- a/mothstand/ledger/state.py
+++ b/mothstand/ledger/state.py
@@ -32,9 +32,9 @@
     ----------
     config
         Returns the configuration in force.
-    log_silent_s
+    log_unreachable_s
         Returns for how many seconds the log has not answered; 0 while it answers.
-    data_centres
+    data_centre_count
         Returns the number of data centres that share the budgets.
     """
 
@@ -84,8 +84,8 @@
         local_data_centre = self.context.membership.data_centre
         epochs = (
             self.fold.epochs[e]
-            for place, e in self.fold.current_epochs.items()
-            if place != local_data_centre
+            for data_centre, e in self.fold.current_epochs.items()
+            if data_centre != local_data_centre
         )
         return [state for state in epochs if budget in state.grants]
 
--- a/mothstand/tests/test_data_centres.py
+++ b/mothstand/tests/test_data_centres.py
@@ -118,10 +118,10 @@
         fleet.set_faults("llm-b", mode="ok", token_delay_s=0.02)
         with Load(urls(fleet, "sto-a-1"), callers=4, max_tokens=16, stream_share=1.0) as load:
             time.sleep(4.0)
-        served_elsewhere = {entry["request_id"] for entry in fleet.journal("llm-b")}
-        whole = [record for record in load.records if record.outcome is CallOutcome.COMPLETE]
-        assert any(f"{record.request_id}/1" in served_elsewhere for record in whole)
-        assert any(f"{record.request_id}/1" not in served_elsewhere for record in whole)
+        served_remotely = {entry["request_id"] for entry in fleet.journal("llm-b")}
+        complete = [record for record in load.records if record.outcome is CallOutcome.COMPLETE]
+        assert any(f"{record.request_id}/1" in served_remotely for record in complete)
+        assert any(f"{record.request_id}/1" not in served_remotely for record in complete)
         check_history(fleet, load, paid_tokens=20_000)
 
 
--- a/mothstand/tests/test_path.py
+++ b/mothstand/tests/test_path.py
@@ -30,11 +30,11 @@
         url = pair.processes["sto-a-1"].url
         client = openai.OpenAI(base_url=f"{url}/v1", api_key=KEYS["lund"], max_retries=0)
         messages: Any = [{"role": "user", "content": "Rewrite in APA: Berg."}]
-        whole = client.chat.completions.create(model=MODEL, messages=messages, max_tokens=12)
+        complete = client.chat.completions.create(model=MODEL, messages=messages, max_tokens=12)
         expected = "".join(answer_tokens("Rewrite in APA: Berg.", 12))
-        assert whole.choices[0].message.content == expected
-        assert whole.usage is not None
-        assert whole.usage.total_tokens == 16
+        assert complete.choices[0].message.content == expected
+        assert complete.usage is not None
+        assert complete.usage.total_tokens == 16
         stream: Any = client.chat.completions.create(
             model=MODEL, messages=messages, max_tokens=12, stream=True
         )
