--- a/mothstand/entry/app.py
+++ b/mothstand/entry/app.py
@@ -214,7 +214,7 @@
                 passed_headers = {
                     name: value
                     for name, value in response.headers.items()
-                    if name in _FORWARDED_HEADERS
+                    if name in _RELAYED_RESPONSE_HEADERS
                 }
                 await sink.start(response.status_code, passed_headers)
                 async for piece in response.aiter_raw():
@@ -238,7 +238,7 @@
 #: Pseudo status of a retained answer that another instance has.
 ANSWERED_BY_PEER = -1
 
-_FORWARDED_HEADERS = frozenset(
+_RELAYED_RESPONSE_HEADERS = frozenset(
     {"content-type", "content-length", "x-request-id", "retry-after", "x-should-retry"}
 )
 
