--- a/mothstand/ledger/escrow_agent.py
+++ b/mothstand/ledger/escrow_agent.py
@@ -1,4 +1,4 @@
-"""Asks the log for escrow of one shard and gives some back when another data centre needs it."""
+"""Requests escrow of one shard from the log and returns what other data centres need."""
 
 from __future__ import annotations
 
@@ -35,20 +35,20 @@
     from .state import ShardState
 
 
-#: Seconds after an ask that got less than it wanted, before the next; doubles up to the most.
+#: Seconds between an ask that was not fulfilled and the next one; doubles up to the maximum.
 _UNFULFILLED_RETRY_S = 1.0
 _UNFULFILLED_MAX_RETRY_S = 32.0
 
 
-#: Budgets looked at when another asks; at 14 us each, a few milliseconds.
+#: Maximum number of other budgets checked with each ask: at 14 us each, a few milliseconds.
 _MAX_EXTRA_BUDGETS = 256
 
 
 @dataclass(slots=True)
 class _UnfulfilledAsks:
-    """Asks in a row that got less than they wanted.
+    """Backoff for consecutive asks that got fewer tokens than requested.
 
-    At a budget's end they would go on for each request, two appends a time, in every data centre.
+    Without it, each request near a budget's end would cost two appends in every data centre.
     """
 
     backoff: Backoff = field(
@@ -57,7 +57,7 @@
     retry_at_s: float = 0.0
 
     def add(self, now_s: float) -> None:
-        """Count one more, and wait longer before the next."""
+        """Count one more and lengthen the wait before the next."""
         self.retry_at_s = now_s + self.backoff.next_s()
 
 
@@ -66,8 +66,8 @@
 
     Parameters
     ----------
-    want_mirror
-        Called when there is something new to tell the witness.
+    request_mirror
+        Called when there is a new reservation to send to the witness.
     """
 
     def __init__(
@@ -87,7 +87,7 @@
         self._pending_returns: dict[tuple[Epoch, int], tuple[BudgetName, int]] = {}
 
     def note_bound(self, budget: BudgetName, bound_tokens: int) -> None:
-        """Note a request's upper bound."""
+        """Record the upper bound of a request's usage."""
         self._estimator(budget).note_bound(bound_tokens)
 
     def add_demand(self, budget: BudgetName, used_tokens: int) -> None:
@@ -95,12 +95,12 @@
         self._estimator(budget).add_usage(used_tokens, self._state.context.clock.monotonic_s())
 
     def on_epoch_opened(self) -> None:
-        """Forget what was asked for, and on its way back, in an earlier epoch."""
+        """Drop the pending asks and returns of an earlier epoch."""
         self._pending_asks.clear()
         self._pending_returns.clear()
 
     def on_grant_decided(self, record: GrantAsked) -> None:
-        """Note that an ask was decided, whatever the decision."""
+        """Remove a decided ask from the pending ones; back off if it was not fulfilled."""
         local_data_centre = self._state.context.membership.data_centre
         now_s = self._state.context.clock.monotonic_s()
         for budget, ask_id in self._pending_asks.items():
@@ -116,9 +116,9 @@
         }
 
     def submit_paid_tokens(self, budgets: dict[BudgetName, int]) -> None:
-        """Bring the configuration's paid totals into the shard's stream.
+        """Append the configuration's paid totals to the shard's stream.
 
-        Any instance may, at any time: the totals are cumulative, so a second one changes nothing.
+        Any instance may do so at any time: the totals are cumulative, so repeats change nothing.
         """
         for name, paid in budgets.items():
             fold_paid = self._state.fold.paid_tokens.get(name, 0)
@@ -130,15 +130,15 @@
     def ask_for_waiting(self) -> None:
         """Ask for escrow of the budgets that requests wait for.
 
-        Only a request can make a budget run low, and each asks for its own; so nothing has to look
-        at all budgets again and again.
+        Only requests lower a budget, and each request asks for its own budget, so no periodic
+        check of all budgets is needed.
         """
         for budget, tokens in list(self._state.needed_tokens.items()):
             if tokens > 0:
                 self.ask(budget)
 
     def ask(self, budget: BudgetName) -> None:
-        """Ask for escrow of a budget if it runs low, and of others along with it."""
+        """Ask for escrow of a budget if it runs low, and of other low budgets along with it."""
         leading = self._state.leading()
         if leading is None:
             return
@@ -157,7 +157,7 @@
         self._pending_asks.update({ask.budget: record.record_id for ask in asks})
 
     def _next_extra_budgets(self, budget: BudgetName) -> list[BudgetName]:
-        """Return the next few other budgets, in turn: to look at all would hold up streams."""
+        """Return the next few other budgets in rotation: checking all would delay streams."""
         names = list(self._estimators)
         start = self._extra_start % len(names)
         self._extra_start = start + _MAX_EXTRA_BUDGETS
@@ -165,7 +165,7 @@
         return [name for name in in_turn[:_MAX_EXTRA_BUDGETS] if name != budget]
 
     def return_surplus(self) -> None:
-        """Return what another data centre asked for in vain and this one can spare."""
+        """Return escrow that other data centres lack and this one can spare."""
         leading = self._state.leading()
         if leading is None:
             return
@@ -182,17 +182,17 @@
                 self._return_all_free(leading, budget)
 
     def on_reservation_decided(self, epoch: Epoch, number: int, is_acknowledged: bool) -> None:
-        """Take the witness's word on a reservation; if it was for a return, return it or not.
+        """Append the return that the reservation was for, if the witness acknowledged it.
 
-        A rejected return must be forgotten too: as long as it counts as on its way, nothing more
-        of the budget is given back, and other data centres go on waiting.
+        A rejected return is dropped too: while it counts as pending, nothing more of the budget
+        is returned, and other data centres keep waiting.
         """
         pending_return = self._pending_returns.pop((epoch, number), None)
         if pending_return is not None and is_acknowledged:
             self._submit_return(epoch, *pending_return)
 
     def pending_return_tokens(self, budget: BudgetName) -> int:
-        """Return what is on its way back, waiting for the witness's word."""
+        """Return the tokens whose return waits for the witness's acknowledgement."""
         return sum(tokens for name, tokens in self._pending_returns.values() if name == budget)
 
     def _make_ask(
@@ -213,7 +213,7 @@
         account = leading[1]
         spent = sum(account.spent_tokens(budget, lane) for lane in Lane)
         grant = leading[0].grants.get(budget, Grant())
-        # Of what is held, not of all that ever came: tokens that went back count no more.
+        # Shares are of the escrow held now: tokens that were returned no longer count.
         held = grant.granted_tokens - grant.returned_tokens + tokens
         allowance = held * policy.allowance_percent // 100
         promotion = promotion_share_tokens(policy.promotion_percent, held, view.largest_tokens)
@@ -226,7 +226,7 @@
         )
 
     def _can_prompt_returns(self, budget: BudgetName, view: EscrowView) -> bool:
-        """Return whether an ask that gets nothing is worth its append: others may give back."""
+        """Return whether an unfulfilled ask is worth it: other data centres may return tokens."""
         if view.needed_tokens <= view.free_tokens or not self._state.remote_epochs(budget):
             return False
         now_s = self._state.context.clock.monotonic_s()
@@ -270,17 +270,17 @@
     def _return_all_free(
         self, leading: tuple[EpochState, HolderAccount], budget: BudgetName
     ) -> None:
-        """Give back all that is free, the allowance too: nothing but rests is left."""
+        """Return all free tokens, the allowance too: every data centre holds only a remainder."""
         epoch_state, account = leading
         grant = epoch_state.grants[budget]
         for lane in Lane:
             self.return_tokens(budget, account.free_tokens(budget, grant, lane), lane)
 
     def return_tokens(self, budget: BudgetName, tokens: int, lane: Lane) -> None:
-        """Give back free tokens of a lane of the led epoch, if there are as many.
+        """Return free tokens of a lane of the led epoch, if it has that many.
 
-        They are reserved for good before the log hears of it: from then on nobody can spend them
-        here, not even after this process died in between.
+        They are reserved permanently before the return is appended, so that nothing can spend
+        them here afterwards, even if this process dies in between.
         """
         leading = self._state.leading()
         if tokens <= 0 or leading is None or budget not in leading[0].grants:
--- a/mothstand/ledger/state.py
+++ b/mothstand/ledger/state.py
@@ -1,4 +1,4 @@
-"""What the parts of one shard at one instance share."""
+"""State shared by the parts of one ledger shard of an instance."""
 
 from __future__ import annotations
 
@@ -26,16 +26,16 @@
 
 @dataclass(slots=True)
 class ShardContext:
-    """What all shards of an instance share.
+    """Context shared by all shards of an instance.
 
     Parameters
     ----------
     config
         Returns the configuration in force.
-    log_silent_s
-        Returns for how long the log has not answered; 0 while it does.
-    data_centres
-        Returns how many data centres share the budgets.
+    log_unreachable_s
+        Returns for how many seconds the log has not answered; 0 while it answers.
+    data_centre_count
+        Returns the number of data centres that share the budgets.
     """
 
     membership: Membership
@@ -48,7 +48,7 @@
 
     @property
     def is_log_unreachable(self) -> bool:
-        """Whether the log has been silent for long."""
+        """Whether the log has not answered for `UNREACHABLE_AFTER_S` or longer."""
         return self.log_unreachable_s() >= UNREACHABLE_AFTER_S
 
 
@@ -59,7 +59,7 @@
     Parameters
     ----------
     needed_tokens
-        For each budget, what requests wait for right now.
+        For each budget, the tokens that requests wait for.
     """
 
     shard: Shard
@@ -84,8 +84,8 @@
         local_data_centre = self.context.membership.data_centre
         epochs = (
             self.fold.epochs[e]
-            for place, e in self.fold.current_epochs.items()
-            if place != local_data_centre
+            for data_centre, e in self.fold.current_epochs.items()
+            if data_centre != local_data_centre
         )
         return [state for state in epochs if budget in state.grants]
 
@@ -117,10 +117,10 @@
 
     @property
     def progress(self) -> anyio.Event:
-        """Set when something changes that a waiting request may look at again."""
+        """Event that is set when the state that requests wait for may have changed."""
         return self._progress
 
     def announce(self) -> None:
-        """Wake what waits for `progress`."""
+        """Wake the requests that wait for `progress`."""
         self._progress.set()
         self._progress = anyio.Event()
--- a/mothstand/tests/test_path.py
+++ b/mothstand/tests/test_path.py
@@ -1,4 +1,4 @@
-"""The whole path, as separate processes on loopback."""
+"""Tests requests from client to engine through separate processes on loopback."""
 
 from __future__ import annotations
 
@@ -30,11 +30,11 @@
         url = pair.processes["sto-a-1"].url
         client = openai.OpenAI(base_url=f"{url}/v1", api_key=KEYS["lund"], max_retries=0)
         messages: Any = [{"role": "user", "content": "Rewrite in APA: Berg."}]
-        whole = client.chat.completions.create(model=MODEL, messages=messages, max_tokens=12)
+        complete = client.chat.completions.create(model=MODEL, messages=messages, max_tokens=12)
         expected = "".join(answer_tokens("Rewrite in APA: Berg.", 12))
-        assert whole.choices[0].message.content == expected
-        assert whole.usage is not None
-        assert whole.usage.total_tokens == 16
+        assert complete.choices[0].message.content == expected
+        assert complete.usage is not None
+        assert complete.usage.total_tokens == 16
         stream: Any = client.chat.completions.create(
             model=MODEL, messages=messages, max_tokens=12, stream=True
         )
@@ -64,10 +64,10 @@
         wait_until(lambda: status_fields(pair, "kushiro")[2] == "5", "kushiro's bill")
 
     def test_running_stream_completes_during_stop(self, pair: Fleet) -> None:
-        """Symptom: a caller's stream breaks off during a planned stop of its instance.
+        """Guards against a stream that breaks off during a planned stop of its instance.
 
-        Sequence: a slow stream runs, SIGTERM arrives, the stream goes on.
-        Cause it guards against: closing connections before running answers have ended.
+        SIGTERM arrives while a slow stream runs. Connections may close only after running answers
+        have ended.
         """
         pair.set_faults("llm-a", token_delay_s=0.05)
         pair.set_faults("llm-b", token_delay_s=0.05)
--- a/mothstand/tests/test_remote_reserve.py
+++ b/mothstand/tests/test_remote_reserve.py
@@ -1,4 +1,4 @@
-"""Reservations at another data centre's leaseholder, with two leaseholders and fakes round them."""
+"""Tests reservations at another data centre's leaseholder, with two leaseholders and fakes."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
         self.calls: list[ReserveCall] = []
 
     async def reserve(self, address: str, call: ReserveCall, *, timeout_s: float) -> ReserveReply:
-        """Ask the peer."""
+        """Reserve at the peer, if it has not been removed."""
         self.calls.append(call)
         if address not in self.reservers:
             raise PeerError("gone")
@@ -46,7 +46,7 @@
 
 
 class TwoDataCentres:
-    """Leaseholders `a` with 100 and `b` with 900 tokens of a budget of 1,000; nothing ungranted."""
+    """Leaseholders `a` with 100 and `b` with 900 tokens of a budget of 1,000, all of it granted."""
 
     def __init__(self) -> None:
         self.clock = FakeClock()
@@ -79,7 +79,7 @@
         reserver.attach(EscrowAgent(state, writer, reserver.request_mirror))  # type: ignore[arg-type]
 
     async def run_appends(self) -> None:
-        """Let `b` append what it has queued, again and again."""
+        """Append what `b` has queued to its log, until cancelled."""
         offset = len(records()) + 1
         while True:
             await anyio.lowlevel.checkpoint()
@@ -95,19 +95,19 @@
         return self.peers.reservers[A.address]
 
     def local_membership(self) -> FakeMembership:
-        """Return whom `a` believes to be alive."""
+        """Return the membership view of `a`."""
         membership = self.states[A.name].context.membership
         assert isinstance(membership, FakeMembership)
         return membership
 
     def spent_tokens(self, name: str) -> int:
-        """Return what a leaseholder's account has spent or reserved."""
+        """Return the tokens spent or reserved in a leaseholder's account."""
         account = self.states[name].holders[EPOCHS[name]]
         return sum(spend.own_tokens for spend in account.budget_spends())
 
 
 def records() -> list[LedgerRecord]:
-    """Return the log of the shard."""
+    """Return the records of the shard's log."""
     return [
         BudgetPaid(RecordId("o", 1), LUND, 1000),
         EpochOpened(RecordId("seed:a", 1), SHARD, DataCentre("sto-a"), A, None, NO_EPOCH),
@@ -118,20 +118,20 @@
 
 
 def run(test: Callable[[TwoDataCentres], Awaitable[None]]) -> None:
-    """Run a test on a loop of its own, with time moving on."""
+    """Run a test on its own event loop, with advancing fake time."""
 
     async def main() -> None:
-        places = TwoDataCentres()
+        data_centres = TwoDataCentres()
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(pass_time, places.clock)
-            await test(places)
+            tasks.start_soon(pass_time, data_centres.clock)
+            await test(data_centres)
             tasks.cancel_scope.cancel()
 
     anyio.run(main)
 
 
 async def pass_time(clock: FakeClock) -> None:
-    """Let a little fake time pass with each turn of the loop."""
+    """Advance the fake clock with each turn of the loop."""
     while True:
         await anyio.lowlevel.checkpoint()
         clock.advance(0.01)
@@ -139,122 +139,119 @@
 
 class TestRemoteReserve:
     def test_remote_leaseholder_reserves_when_local_escrow_is_short(self) -> None:
-        """Symptom: a request that is paid for is refused, since its tokens are held elsewhere.
+        """A paid request was refused if another data centre held nearly all of the budget's rest.
 
-        Sequence: a budget nears its end; one data centre holds nearly all of the rest.
-        Cause: tokens had to move through the log before they could be spent here.
+        Tokens had to move through the log before they could be spent locally.
         """
 
-        async def test(places: TwoDataCentres) -> None:
-            ticket = await places.local_reserver.reserve(CALL)
+        async def test(data_centres: TwoDataCentres) -> None:
+            ticket = await data_centres.local_reserver.reserve(CALL)
             assert isinstance(ticket, Ticket)
             assert ticket.holder == B.address
             assert ticket.key_holder == ""
-            assert places.spent_tokens(B.name) == 500
-            assert places.spent_tokens(A.name) == 0
+            assert data_centres.spent_tokens(B.name) == 500
+            assert data_centres.spent_tokens(A.name) == 0
 
         run(test)
 
     def test_remote_leaseholder_reserves_during_platform_outage(self) -> None:
-        async def test(places: TwoDataCentres) -> None:
-            places.log_unreachable_s = {A.name: 60.0, B.name: 60.0}
-            assert isinstance(await places.local_reserver.reserve(CALL), Ticket)
-            second = await places.local_reserver.reserve(replace(CALL, request_id="r2"))
+        async def test(data_centres: TwoDataCentres) -> None:
+            data_centres.log_unreachable_s = {A.name: 60.0, B.name: 60.0}
+            assert isinstance(await data_centres.local_reserver.reserve(CALL), Ticket)
+            second = await data_centres.local_reserver.reserve(replace(CALL, request_id="r2"))
             assert isinstance(second, Refusal)
             assert second.kind is ErrorKind.BUDGET_OUT_OF_REACH
 
         run(test)
 
     def test_remote_leaseholder_gets_escrow_when_local_one_cannot_reach_log(self) -> None:
-        """Symptom: a data centre that is cut off from the platform alone runs out of escrow.
+        """A data centre that alone was cut off from the platform ran out of escrow.
 
-        Sequence: a cut from the platform that is longer than the ride-through, or a leaseholder
-        that dies in it; the log has tokens, other data centres can reach it.
-        Cause: only what others held already could be reserved there.
+        The cut outlasts the ride-through, or a leaseholder dies in it. The log has tokens and other
+        data centres reach it, but only escrow that they already held could be reserved there.
         """
 
-        async def test(places: TwoDataCentres) -> None:
-            places.log_unreachable_s[A.name] = 60.0
+        async def test(data_centres: TwoDataCentres) -> None:
+            data_centres.log_unreachable_s[A.name] = 60.0
             paid = BudgetPaid(RecordId("o", 2), LUND, 2000)
-            places.states[B.name].fold.apply(len(records()) + 1, paid)
+            data_centres.states[B.name].fold.apply(len(records()) + 1, paid)
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(places.run_appends)
-                ticket = await places.local_reserver.reserve(replace(CALL, bound_tokens=990))
+                tasks.start_soon(data_centres.run_appends)
+                ticket = await data_centres.local_reserver.reserve(replace(CALL, bound_tokens=990))
                 tasks.cancel_scope.cancel()
             assert isinstance(ticket, Ticket)
-            assert places.spent_tokens(B.name) == 990
+            assert data_centres.spent_tokens(B.name) == 990
 
         run(test)
 
     def test_key_of_remote_reservation_is_known_locally(self) -> None:
-        """Symptom: a retry runs again, or is told for ever that its request still runs.
+        """Guards against a retry that runs again, or is always refused as still running.
 
-        Sequence: a keyed request is reserved elsewhere, retried while it runs, and ends.
-        Cause it guards against: a key that only the other data centre knows, or that nobody ends.
+        A keyed request is reserved remotely, retried while it runs, and ends. The local leaseholder
+        must know the key and its end.
         """
 
-        async def test(places: TwoDataCentres) -> None:
+        async def test(data_centres: TwoDataCentres) -> None:
             call = replace(CALL, is_keyed=True)
-            ticket = await places.local_reserver.reserve(call)
+            ticket = await data_centres.local_reserver.reserve(call)
             assert isinstance(ticket, Ticket)
             assert ticket.key_holder == A.address
-            places.local_membership().alive_peers["entry"] = Member("entry", "entry:x", "e:0")
-            assert await places.local_reserver.reserve(call) == KnownKey(
+            data_centres.local_membership().alive_peers["entry"] = Member("entry", "entry:x", "e:0")
+            assert await data_centres.local_reserver.reserve(call) == KnownKey(
                 "entry:x", is_finished=False
             )
-            assert places.peers.reservers[B.address].settle(ticket, 50, "r1")
-            assert places.spent_tokens(B.name) == 50
-            assert places.local_reserver.settle(ticket, 50, "r1")
-            assert await places.local_reserver.reserve(call) == KnownKey(
+            assert data_centres.peers.reservers[B.address].settle(ticket, 50, "r1")
+            assert data_centres.spent_tokens(B.name) == 50
+            assert data_centres.local_reserver.settle(ticket, 50, "r1")
+            assert await data_centres.local_reserver.reserve(call) == KnownKey(
                 "entry:x", is_finished=True
             )
 
         run(test)
 
     def test_unresponsive_data_centre_is_not_asked(self) -> None:
-        """Symptom: refusals come seconds late in a partition.
+        """Guards against refusals that come seconds late in a partition.
 
-        Sequence: the data centres are cut off from each other, a budget is short here.
-        Cause it guards against: waiting out a timeout to ask one who is not there.
+        The data centres cannot reach each other and the local escrow is short. No request may wait
+        for the timeout of a call to an unreachable leaseholder.
         """
 
-        async def test(places: TwoDataCentres) -> None:
-            places.local_membership().alive_remote_members = {}
-            refused = await places.local_reserver.reserve(CALL)
+        async def test(data_centres: TwoDataCentres) -> None:
+            data_centres.local_membership().alive_remote_members = {}
+            refused = await data_centres.local_reserver.reserve(CALL)
             assert isinstance(refused, Refusal)
-            assert places.peers.calls == []
+            assert data_centres.peers.calls == []
 
         run(test)
 
     def test_exhausted_budget_is_refused_without_remote_call(self) -> None:
-        async def test(places: TwoDataCentres) -> None:
-            refused = await places.local_reserver.reserve(replace(CALL, bound_tokens=1001))
+        async def test(data_centres: TwoDataCentres) -> None:
+            refused = await data_centres.local_reserver.reserve(replace(CALL, bound_tokens=1001))
             assert isinstance(refused, Refusal)
             assert refused.kind is ErrorKind.BUDGET_EXHAUSTED
-            assert places.peers.calls == []
+            assert data_centres.peers.calls == []
 
         run(test)
 
     def test_remote_call_is_not_passed_on(self) -> None:
-        """Symptom: one request goes round all data centres again and again.
+        """Guards against a request that circulates between data centres.
 
-        Sequence: two data centres are both short and ask each other.
-        Cause it guards against: an ask from elsewhere treated as a request of its own.
+        Two data centres are both short and call each other. A remote call must not be passed on.
         """
 
-        async def test(places: TwoDataCentres) -> None:
+        async def test(data_centres: TwoDataCentres) -> None:
             call = replace(CALL, bound_tokens=950, is_from_remote=True)
-            refused = await places.peers.reservers[B.address].reserve(call)
+            refused = await data_centres.peers.reservers[B.address].reserve(call)
             assert isinstance(refused, Refusal)
-            assert places.peers.calls == []
+            assert data_centres.peers.calls == []
 
         run(test)
 
     def test_request_is_refused_when_remote_call_fails(self) -> None:
-        async def test(places: TwoDataCentres) -> None:
-            del places.peers.reservers[B.address]
-            refused = await places.peers.reservers[A.address].reserve(CALL)
+        async def test(data_centres: TwoDataCentres) -> None:
+            del data_centres.peers.reservers[B.address]
+            refused = await data_centres.peers.reservers[A.address].reserve(CALL)
             assert isinstance(refused, Refusal)
-            assert len(places.peers.calls) == 1
+            assert len(data_centres.peers.calls) == 1
 
         run(test)
