--- a/mothstand/operators/__init__.py
+++ b/mothstand/operators/__init__.py
@@ -1,1 +1,1 @@
-"""What the operators' commands do: publish, status, audit."""
+"""Implementation of the operators' commands, such as publish, status and audit."""
--- a/mothstand/operators/explain.py
+++ b/mothstand/operators/explain.py
@@ -1,8 +1,8 @@
-"""Says from instances' logs where budgets' tokens went, and why requests were refused.
+"""Derives from instances' logs where the tokens of budgets went and why requests were refused.
 
-What an instance logs is enough to follow each budget: what was paid (`config_in_force`), what each
-start of an instance claimed and used (`claims_written`, `claims_reclaimed`), what requests consumed
-(`request_answered`, `request_left`) and what was refused (`request_refused`).
+The log lines of instances are enough to follow each budget: the tokens paid (`config_in_force`),
+claimed and used by each start of an instance (`claims_written`, `claims_reclaimed`), consumed by
+requests (`request_answered`, `request_left`), and the refused requests (`request_refused`).
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Iterator, Mapping
 
-#: An event's line: whatever a collector puts first, the time of day, number, name and fields.
+#: Line of an event: any prefix of a collector, then time of day, number, name and fields.
 _LINE = re.compile(r"[IWEF]\d{4} (\d\d):(\d\d):(\d\d\.\d+) .*?\] MS(\d+) \w+ (.*)$")
 
 _NEEDED_AND_HELD = re.compile(r"(\S+): (\d+) tokens, (-?\d+) held here")
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoggedEvent:
-    """One event of a log; `at_s` is the time of day."""
+    """Event of a log; `at_s` is the time of day."""
 
     at_s: float
     number: int
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True)
 class HolderAccount:
-    """What one start of an instance last said of its claim on a budget, in tokens."""
+    """Claim of one start of an instance on a budget, as last logged."""
 
     claimed: int = 0
     spent: int = 0
@@ -50,14 +50,14 @@
 
     @property
     def unused_tokens(self) -> int:
-        """What is claimed and neither used, in doubt, set aside nor given away."""
+        """Claimed tokens that are neither spent, uncertain, reserved nor given away."""
         taken = self.spent + self.doubtful + self.reserved + self.given
         return max(0, self.claimed - taken + self.received)
 
 
 @dataclass(slots=True)
 class BudgetAccount:
-    """One budget over all instances."""
+    """Tokens of one budget over all instances."""
 
     prepaid_tokens: int = 0
     consumed_tokens: int = 0
@@ -67,22 +67,22 @@
 
     @property
     def free_tokens(self) -> int:
-        """What nobody has claimed."""
+        """Tokens that no instance has claimed."""
         return self.prepaid_tokens - sum(h.claimed for h in self.holders.values())
 
 
 @dataclass(slots=True)
 class Explanation:
-    """What the logs of a fleet say.
+    """Findings from the logs of a fleet.
 
     Parameters
     ----------
-    living
+    latest_incarnations
         The latest start of each instance.
-    refused
+    refusals_by_second
         Refusals by kind, for each second of the day.
-    faults
-        Lines that look like events and cannot be read.
+    parse_errors
+        Messages on lines that look like events and cannot be read.
     """
 
     budgets: dict[str, BudgetAccount] = field(default_factory=lambda: defaultdict(BudgetAccount))
@@ -91,7 +91,7 @@
     faults: list[str] = field(default_factory=list)
 
     def take(self, event: LoggedEvent) -> None:
-        """Take one event; events must come in the order of their times."""
+        """Apply one event; events must be applied in order of time."""
         fields = event.fields
         if event.number == Event.INSTANCE_STARTED.number:
             self.living[fields["instance"]] = fields["incarnation"]
@@ -112,7 +112,7 @@
             self._take_refusal(event)
 
     def is_dead(self, holder: Holder) -> bool:
-        """Return whether a later start of its instance is known."""
+        """Return whether a later start of the holder's instance is known."""
         latest = self.living.get(holder.instance)
         return latest is not None and latest != holder.incarnation
 
@@ -144,14 +144,14 @@
 
 
 def read_events(lines: Iterable[str], name: str, faults: list[str]) -> Iterator[LoggedEvent]:
-    """Return the events of a log; lines of other programs are passed over.
+    """Yield the events of a log; lines of other programs are skipped.
 
     Parameters
     ----------
     name
-        Of the file, for what is said of lines that cannot be read.
-    faults
-        Gets a line for each event that is cut off or not as this version writes it.
+        Name of the file, for messages on lines that cannot be read.
+    parse_errors
+        List that receives a message for each event that is cut off or not JSON.
     """
     for number, line in enumerate(lines, start=1):
         found = _LINE.search(line)
@@ -168,12 +168,12 @@
 
 
 def explain(logs: Mapping[str, Iterable[str]]) -> Explanation:
-    """Return what the logs of some instances say, by the name of each log."""
+    """Return the findings from the logs of instances, given by name."""
     explanation = Explanation()
     events: list[tuple[str, LoggedEvent]] = []
     for name, lines in logs.items():
         events += [(name, event) for event in read_events(lines, name, explanation.faults)]
-    # A day's logs may go over midnight.
+    # A day's logs may span midnight; events have no date.
     if events and max(e.at_s for _, e in events) - min(e.at_s for _, e in events) > _DAY_S / 2:
         events.sort(key=lambda pair: (pair[1].at_s < _DAY_S / 2, pair[1].at_s))
     else:
@@ -199,7 +199,7 @@
 
 
 def explanation_lines(explanation: Explanation) -> Iterator[str]:
-    """Return what was found, as lines of text."""
+    """Yield the findings as lines of text."""
     yield f"{'budget':16}" + "".join(f"{name:>11}" for name in _BUDGET_COLUMNS)
     budgets = [(name, b) for name, b in explanation.budgets.items() if b.prepaid_tokens]
     for name, budget in sorted(budgets, key=lambda pair: -pair[1].prepaid_tokens):
@@ -225,7 +225,7 @@
     yield from explanation.faults
 
 
-#: Strandings told one by one: a dozen of the largest say where a day's tokens lie.
+#: Maximum of stranded claims to list: the 12 largest show where a day's tokens are.
 _MOST_TOLD = 12
 
 
--- a/mothstand/operators/log_view.py
+++ b/mothstand/operators/log_view.py
@@ -1,4 +1,4 @@
-"""Reads whole streams of the log, as an operator's command sees them."""
+"""Reads complete streams of the log for operators' commands."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LedgerEntry:
-    """One ledger record and what the fold decided about it."""
+    """Ledger record and the decision of the fold on it."""
 
     shard: Shard
     offset: int
@@ -40,7 +40,7 @@
 
 @dataclass(slots=True)
 class LogView:
-    """The folds of all streams at one moment."""
+    """Folds of all streams at one point in time."""
 
     config: ConfigFold = field(default_factory=lambda: ConfigFold(validate_sections))
     ledgers: dict[Shard, LedgerFold] = field(default_factory=dict)
@@ -50,7 +50,7 @@
 
 
 async def read_stream(log: LogClient, stream: str) -> list[tuple[int, Record]]:
-    """Return all kept records of a stream, with their offsets.
+    """Return all retained records of a stream, with their offsets.
 
     Raises
     ------
@@ -78,7 +78,7 @@
 def _from_snapshot(
     records: list[tuple[int, Record]], first_offset: int
 ) -> list[tuple[int, Record]]:
-    """Return the records, or the first snapshot that covers what was trimmed and those after it."""
+    """Return the records, or the first snapshot that covers the trimmed ones and its successors."""
     if first_offset <= 1:
         return records
     for offset, record in records:
--- a/mothstand/operators/publish.py
+++ b/mothstand/operators/publish.py
@@ -1,4 +1,4 @@
-"""Publishes a folder of INI files through the log, and waits until it is in force."""
+"""Publishes a folder of INI files through the log and waits until it is in force."""
 
 from __future__ import annotations
 
@@ -33,12 +33,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Published:
-    """What became of a publication.
+    """Result of a publication.
 
     Parameters
     ----------
     offset
-        Of the record, accepted or not; 0 when nothing had changed.
+        Offset of the record, accepted or not. Without changes, the offset of the configuration in
+        force.
     """
 
     offset: int
@@ -48,12 +49,12 @@
 
 @dataclass(frozen=True, slots=True)
 class InForce:
-    """Where a configuration is in force.
+    """Instances with and without a published configuration.
 
     Parameters
     ----------
-    reached, behind, silent
-        Names of instances: at the offset or past it, still before it, and without an answer.
+    up_to_date, behind, unresponsive
+        Names of instances: at or past its offset, before its offset, and without an answer.
     """
 
     reached: tuple[str, ...]
@@ -62,46 +63,46 @@
 
     @property
     def everywhere(self) -> bool:
-        """Whether every listed instance has it."""
+        """Whether every listed instance has the configuration."""
         return not self.behind and not self.silent
 
 
 class Publisher:
-    """Publishes one operator's folder.
+    """Publisher of an operator's folder.
 
     Parameters
     ----------
     operator
-        Name for the audit trail.
+        Name of the operator for the audit trail.
     """
 
     def __init__(self, log: LogClient, operator: str, clock: Clock) -> None:
         self._log = log
         self._operator = operator
         self._clock = clock
-        # A new author for each publication: a retry after a lost answer keeps its id.
+        # Each publication has its own author, so a retry after a lost answer has the same id.
         self._author = f"{operator}:{uuid.uuid4().hex[:12]}"
 
     async def publish(self, sections: Sections, *, base_offset: int | None = None) -> Published:
-        """Append the folder's changes and return what the fold decided.
+        """Append the folder's changes and return the decision of the fold.
 
         Parameters
         ----------
         base_offset
-            The configuration that the folder was made from; what is in force if None.
+            Offset of the configuration that the folder was made from; the one in force if None.
 
         Raises
         ------
         LogError
-            If the log does not answer. The publication may be in it; run the command again.
+            If the log does not answer. It may have the publication; run the command again.
         SettingsError
-            If `base_offset` is not what is in force.
+            If the configuration at `base_offset` is not in force.
         """
         fold = await read_config(self._log)
         if base_offset is not None and base_offset != fold.state.offset:
             raise SettingsError(
                 f"base {base_offset} is not in force, {fold.state.offset} is;"
-                " look at 'mothstand diff', merge, and publish from there"
+                " run 'mothstand diff', merge, and publish with that base"
             )
         changes = diff_sections(fold.state.sections, sections)
         if not changes:
@@ -127,7 +128,7 @@
                 await self._clock.sleep(_APPEND_RETRY_S)
 
     async def _read_back(self, record: ConfigPublished) -> Published:
-        """Return what every reader of the log decides about the record."""
+        """Return the decision of every reader of the log on the record."""
         fold = await read_config(self._log)
         found = [
             offset
@@ -150,14 +151,14 @@
     progress: Callable[[InForce], None],
     every_s: float = _WATCH_EVERY_S,
 ) -> InForce:
-    """Ask every listed instance until all have the configuration, or the time is up.
+    """Poll every listed instance until all have the configuration or the timeout passes.
 
     Parameters
     ----------
-    progress
-        Called with each look.
-    every_s
-        Time between two looks.
+    report_progress
+        Called with the status after each poll.
+    poll_interval_s
+        Time between two polls.
     """
     deadline_s = clock.monotonic_s() + timeout_s
     while True:
--- a/mothstand/operators/release.py
+++ b/mothstand/operators/release.py
@@ -1,4 +1,4 @@
-"""Releases what a superseded epoch holds back, on the word that its processes are gone."""
+"""Releases the tokens of a superseded epoch, given an operator's word that its processes died."""
 
 from __future__ import annotations
 
@@ -28,19 +28,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Released:
-    """What came of a release; `tokens` went back to each budget if it was accepted."""
+    """Result of a release; if accepted, `returned_tokens` went back to the budgets."""
 
     outcome: Outcome
     tokens: dict[BudgetName, int]
 
 
 def declared_spend(view: LogView, fold: LedgerFold, state: EpochState) -> tuple[SpentTokens, ...]:
-    """Return an upper bound of what an epoch spent, as the bills tell it.
+    """Return an upper bound of the tokens that an epoch spent, from the bills.
 
     Notes
     -----
-    All of a budget's bills that no other epoch is known to have spent are taken for this one's. So
-    it errs towards holding back, as long as the bills are complete.
+    Bills of a budget that no other epoch reported as spent are attributed to this epoch. If the
+    bills are complete, the bound can only be too high.
     """
     spent = []
     for budget, grant in sorted(state.grants.items()):
@@ -64,12 +64,12 @@
     shard: Shard,
     epoch: Epoch,
 ) -> Released:
-    """Append a release and return what the fold decided about it.
+    """Append a release and return the decision of the fold on it.
 
     Raises
     ------
     SettingsError
-        If there is no such epoch, one of its processes still answers, or old bills are trimmed.
+        If the epoch does not exist, one of its processes still answers or old bills are trimmed.
     LogError
         If the log does not answer.
     """
@@ -83,7 +83,7 @@
     if page.first_offset > 1:
         raise SettingsError(
             f"bills before offset {page.first_offset} are trimmed: what epoch {epoch} spent cannot"
-            " be told any more; leave it"
+            " be determined; do not release it"
         )
     spent = declared_spend(view, fold, state)
     tokens = {s.budget: state.consumed_tokens(s.budget) - s.tokens for s in spent}
@@ -101,7 +101,7 @@
 
 
 async def _check_silent(peers: GrpcPeers, me: Member, state: EpochState) -> None:
-    """Refuse while a process that has not closed its side answers: it will do so by itself."""
+    """Raise if a process that has not closed its side answers: it closes it by itself."""
     for member in state.unclosed_members():
         try:
             found = await peers.probe(member.address, me, timeout_s=_PROBE_TIMEOUT_S)
--- a/mothstand/operators/reports.py
+++ b/mothstand/operators/reports.py
@@ -1,4 +1,4 @@
-"""What ``status`` and ``audit`` print."""
+"""Text lines of the ``status`` and ``audit`` commands."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def budget_lines(view: LogView) -> Iterator[str]:
-    """Return a line for each budget: paid, billed, held, free, stranded."""
+    """Yield a line for each budget: paid, billed, held, free and stranded tokens."""
     yield f"{'budget':24} {'paid':>12} {'billed':>12} {'held':>12} {'free':>12} {'stranded':>10}"
     for name in sorted(view.config.state.config.budgets):
         fold = view.ledgers[shard_of(name, len(view.ledgers))]  # type: ignore[index]
@@ -39,7 +39,7 @@
 
 
 def epoch_lines(view: LogView) -> Iterator[str]:
-    """Return a line for each shard's current epoch in each data centre."""
+    """Yield a line for each shard's current epoch in each data centre."""
     for shard, fold in sorted(view.ledgers.items()):
         for data_centre, epoch in sorted(fold.current_epochs.items()):
             state = fold.epochs[epoch]
@@ -48,7 +48,7 @@
 
 
 def stranded_lines(view: LogView) -> Iterator[str]:
-    """Return a line for each superseded epoch that holds tokens back."""
+    """Yield a line for each superseded epoch with stranded tokens."""
     for shard, fold in sorted(view.ledgers.items()):
         for state in fold.stranded_epochs():
             held = sum(
@@ -63,7 +63,7 @@
 
 
 def audit_lines(view: LogView, *, contains: str = "") -> Iterator[str]:
-    """Return the audit trail: of the configuration, engines, ledger; filtered by a text."""
+    """Return the audit lines of configuration, engines and ledger that contain a text."""
     lines = [_config_line(entry) for entry in view.config.audit]
     lines += [_order_line(offset, record) for offset, record in view.orders]
     lines += [_ledger_line(entry) for entry in view.ledger_entries]
--- a/mothstand/peers/client.py
+++ b/mothstand/peers/client.py
@@ -1,4 +1,4 @@
-"""Calls to other instances over grpclib."""
+"""Client for calls to other instances over grpclib."""
 
 from __future__ import annotations
 
@@ -33,13 +33,13 @@
 
 _T = TypeVar("_T")
 
-#: Name of the header that proves a caller to belong to the fleet.
+#: Header with the fleet key, which proves that a caller belongs to the fleet.
 KEY_HEADER = "x-fleet-key"
 
 
 @dataclass(frozen=True, slots=True)
 class ProbeResult:
-    """A heartbeat's answer."""
+    """Answer to a heartbeat."""
 
     member: Member
     leaving: bool
@@ -49,19 +49,19 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerConfig:
-    """A configuration as a peer knows it."""
+    """Configuration of a peer and its offset in the log."""
 
     offset: int
     sections: Sections
 
 
 class GrpcPeers(PeerCalls):
-    """Channels to peers, one for each address, opened on first use.
+    """Client with one channel for each peer address, opened on first use.
 
     Parameters
     ----------
     fleet_key
-        Sent with each call; peers refuse a call without it.
+        Key sent with each call; peers refuse a call without it.
     """
 
     def __init__(self, fleet_key: str) -> None:
@@ -84,14 +84,14 @@
     async def mirror(
         self, witness: Member, shard: Shard, batch: MirrorBatch, *, timeout_s: float
     ) -> MirrorAnswer:
-        """Ask the witness to acknowledge a batch."""
+        """Send a batch to the witness and return its acknowledgement."""
         answer = await self._call(
             self._stub(witness.address).Mirror(
                 batch_to_pb(witness, shard, batch), timeout=timeout_s, metadata=self._metadata
             )
         )
         if not answer.taken:
-            raise PeerError(f"{witness.name} does not vouch for epoch {batch.epoch}")
+            raise PeerError(f"{witness.name} did not accept the batch of epoch {batch.epoch}")
         return MirrorAnswer(is_sealed=answer.sealed, rejected=frozenset(answer.rejected))
 
     async def reserve(self, address: str, call: ReserveCall, *, timeout_s: float) -> ReserveReply:
@@ -106,7 +106,7 @@
     async def settle(
         self, address: str, ticket: Ticket, used_tokens: int, request_id: str, *, timeout_s: float
     ) -> bool:
-        """Hand over a usage; return whether the instance took it."""
+        """Report the usage of a request; return whether the instance accepted it."""
         request = pb.SettleRequest(
             ticket=ticket_to_pb(ticket), used_tokens=used_tokens, request_id=request_id
         )
@@ -116,7 +116,7 @@
         return bool(answer.known)
 
     async def posted(self, address: str, tickets: tuple[Ticket, ...], *, timeout_s: float) -> None:
-        """Say that the bills of these reservations are in the log."""
+        """Report that the bills of these reservations are in the log."""
         request = pb.PostedRequest(tickets=[ticket_to_pb(ticket) for ticket in tickets])
         await self._call(
             self._stub(address).Posted(request, timeout=timeout_s, metadata=self._metadata)
--- a/mothstand/peers/failures.py
+++ b/mothstand/peers/failures.py
@@ -1,11 +1,11 @@
-"""What a call to another instance may end with."""
+"""Exceptions of calls to other instances."""
 
 from __future__ import annotations
 
 
 class PeerError(Exception):
-    """A peer did not answer in time, or not usefully; what was asked may have taken effect."""
+    """A peer gave no usable answer in time; the call may have taken effect."""
 
 
 class PeerUnreachableError(PeerError):
-    """No connection came about, so nothing was asked."""
+    """No connection was established, so the call had no effect."""
--- a/mothstand/peers/messages.py
+++ b/mothstand/peers/messages.py
@@ -1,4 +1,4 @@
-"""Between the ledger's data classes and the peer protocol's messages."""
+"""Conversions between the ledger's data classes and the messages of the peer protocol."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def identity_to_pb(member: Member) -> pb.Identity:
-    """Return a member as a message."""
+    """Convert a member to a message."""
     return pb.Identity(
         name=member.name,
         incarnation=member.incarnation,
@@ -20,12 +20,12 @@
 
 
 def identity_from_pb(message: pb.Identity) -> Member:
-    """Return a message as a member."""
+    """Convert a message to a member."""
     return Member(message.name, message.incarnation, message.address, message.callers_address)
 
 
 def ticket_to_pb(ticket: Ticket) -> pb.Ticket:
-    """Return a ticket as a message."""
+    """Convert a ticket to a message."""
     return pb.Ticket(
         shard=ticket.shard,
         epoch=ticket.epoch,
@@ -37,7 +37,7 @@
 
 
 def ticket_from_pb(message: pb.Ticket) -> Ticket:
-    """Return a message as a ticket."""
+    """Convert a message to a ticket."""
     return Ticket(
         shard=Shard(message.shard),
         epoch=Epoch(message.epoch),
@@ -49,7 +49,7 @@
 
 
 def call_to_pb(call: ReserveCall) -> pb.ReserveRequest:
-    """Return a reserve call as a message."""
+    """Convert a reserve call to a message."""
     return pb.ReserveRequest(
         shard=call.shard,
         request_id=call.request_id,
@@ -62,7 +62,7 @@
 
 
 def call_from_pb(message: pb.ReserveRequest) -> ReserveCall:
-    """Return a message as a reserve call."""
+    """Convert a message to a reserve call."""
     return ReserveCall(
         shard=Shard(message.shard),
         request_id=message.request_id,
@@ -75,7 +75,7 @@
 
 
 def reply_to_pb(reply: ReserveReply) -> pb.ReserveAnswer:
-    """Return a reserve reply as a message."""
+    """Convert a reserve reply to a message."""
     match reply:
         case Ticket():
             return pb.ReserveAnswer(ticket=ticket_to_pb(reply))
@@ -90,7 +90,7 @@
 
 
 def reply_from_pb(message: pb.ReserveAnswer) -> ReserveReply:
-    """Return a message as a reserve reply."""
+    """Convert a message to a reserve reply."""
     match message.WhichOneof("result"):
         case "ticket":
             return ticket_from_pb(message.ticket)
@@ -105,7 +105,7 @@
 
 
 def batch_to_pb(witness: Member, shard: Shard, batch: MirrorBatch) -> pb.MirrorRequest:
-    """Return a batch for a witness as a message."""
+    """Convert a batch for a witness to a message."""
     return pb.MirrorRequest(
         shard=shard,
         epoch=batch.epoch,
@@ -129,7 +129,7 @@
 
 
 def batch_from_pb(message: pb.MirrorRequest) -> MirrorBatch:
-    """Return a message as a batch."""
+    """Convert a message to a batch."""
     return MirrorBatch(
         epoch=Epoch(message.epoch),
         number=message.batch,
--- a/mothstand/peers/server.py
+++ b/mothstand/peers/server.py
@@ -1,4 +1,4 @@
-"""Serves other instances of the fleet over grpclib."""
+"""Server for calls from other instances of the fleet, over grpclib."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class PeerService(PeerBase):
-    """The calls that an instance serves to its peers.
+    """Handlers of the calls that an instance serves to its peers.
 
     Parameters
     ----------
@@ -68,7 +68,7 @@
     async def Reserve(  # noqa: N802
         self, stream: Stream[pb.ReserveRequest, pb.ReserveAnswer]
     ) -> None:
-        """Reserve tokens if this instance leads the shard."""
+        """Reserve tokens if this instance is the leaseholder of the shard."""
         request = await _receive(stream)
         reply = await self._ledger.reserve_here(call_from_pb(request))
         await stream.send_message(reply_to_pb(reply))
@@ -86,7 +86,7 @@
     async def Posted(  # noqa: N802
         self, stream: Stream[pb.PostedRequest, pb.PostedAnswer]
     ) -> None:
-        """Note that bills are in the log."""
+        """Record that bills are in the log."""
         request = await _receive(stream)
         for ticket in request.tickets:
             self._ledger.posted_here(ticket_from_pb(ticket))
@@ -109,7 +109,7 @@
     async def Config(  # noqa: N802
         self, stream: Stream[pb.ConfigRequest, pb.ConfigAnswer]
     ) -> None:
-        """Hand out the configuration in force."""
+        """Return the configuration in force if it is newer than the caller's."""
         request = await _receive(stream)
         state = self._config()
         if state.offset <= request.known_offset:
--- a/mothstand/standins/__init__.py
+++ b/mothstand/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the platform and the upstreams, each a process with faults to inject."""
+"""Stand-ins for the platform and the upstreams: small processes with injectable faults."""
--- a/mothstand/standins/engine.py
+++ b/mothstand/standins/engine.py
@@ -1,11 +1,11 @@
-"""Stand-in of a model engine: chat completions, whole and streamed, from a made-up model.
+"""Stand-in of a model engine: chat completions, complete and streamed, from a made-up model.
 
 Run as ``python -m mothstand.standins.engine --address IP:PORT --name NAME``. The answer to a prompt
-is a function of the prompt, so tests know what is right. Usage counts words of the prompt and
-tokens made. With ``continue_final_message`` it goes on with the answer that the last message has
-begun. With ``--orders=fenced`` or ``unfenced`` it serves only models that it was ordered to load,
-and takes ``--load_s`` for that. For tests it serves ``GET /journal`` (every request that arrived,
-and what became of it), ``GET /orders`` and ``POST /faults``.
+is a function of the prompt, so tests can predict it. Usage counts words of the prompt and generated
+tokens. With ``continue_final_message`` it continues the answer that the last message begins. With
+``--orders=fenced`` or ``unfenced`` it serves only models that it was ordered to load; loading takes
+``--load_s``. For tests it serves ``GET /journal`` (every request that arrived, with its state),
+``GET /orders`` and ``POST /faults``.
 """
 
 from __future__ import annotations
@@ -41,12 +41,12 @@
 
 
 class EngineFaults(BaseModel):
-    """How the engine fails.
+    """Faults to inject into the engine.
 
     Parameters
     ----------
     mode
-        ``refuse`` answers 503; ``crash`` takes the request and answers 500; ``truncate`` ends
+        ``refuse`` answers 503; ``crash`` accepts the request and answers 500; ``truncate`` ends
         streams early without a marker; ``cross`` sends an event of another answer;
         ``silent_usage`` reports no usage.
     """
@@ -57,7 +57,7 @@
 
 @dataclass(slots=True)
 class JournalEntry:
-    """One request as the engine saw it."""
+    """Request that arrived at the engine, and its state."""
 
     request_id: str
     prompt: str
@@ -69,7 +69,7 @@
 
 
 def answer_tokens(prompt: str, count: int) -> list[str]:
-    """Return the `count` tokens that the model makes of a prompt."""
+    """Return the first `count` tokens of the model's answer to a prompt."""
     seed = zlib.crc32(prompt.encode())
     return [f"w{(seed + 7919 * position) % 10007} " for position in range(count)]
 
@@ -84,12 +84,12 @@
 
 
 def _tokens_made(value: dict[str, Any]) -> int:
-    """Return how many tokens of the answer the caller has already."""
+    """Return the number of tokens of the answer that the caller already has."""
     return len(value["messages"][-1]["content"].split()) if _continues(value) else 0
 
 
 class _Slots:
-    """Slots of the batch; of those that wait, the lowest priority number goes first."""
+    """Slots of the batch; the waiter with the lowest priority number is next."""
 
     def __init__(self, count: int) -> None:
         self._free = count
@@ -98,7 +98,7 @@
 
     @asynccontextmanager
     async def taken(self, priority: int) -> AsyncIterator[None]:
-        """Hold a slot, after a wait for one."""
+        """Wait for a slot and hold it."""
         waiter = (priority, next(self._numbers), anyio.Event())
         heapq.heappush(self._waiting, waiter)
         self._wake()
@@ -120,7 +120,7 @@
 
 
 class EngineStandIn:
-    """One engine.
+    """HTTP handlers and state of one engine.
 
     Parameters
     ----------
@@ -129,7 +129,7 @@
     prefill_s
         Time to the first token on a prefix that is not cached.
     slots
-        Requests that run at once; more wait.
+        Number of requests that run at once; further requests wait.
     """
 
     def __init__(
@@ -197,7 +197,7 @@
         receive: Receive,
         send: Send,
     ) -> None:
-        """Answer, unless the caller leaves first."""
+        """Send the answer, unless the caller disconnects first."""
         async with anyio.create_task_group() as tasks:
 
             async def watch() -> None:
@@ -219,7 +219,7 @@
         return JSONResponse([asdict(entry) for entry in self._journal])
 
     async def set_faults(self, request: Request) -> Response:
-        """Fail from now on as ordered."""
+        """Replace the injected faults."""
         self._faults = EngineFaults.model_validate_json(await request.body())
         return JSONResponse({})
 
--- a/mothstand/standins/engine_setup.py
+++ b/mothstand/standins/engine_setup.py
@@ -1,4 +1,4 @@
-"""What the engine stand-in has loaded, and the orders that change it.
+"""Setup of the engine stand-in: its loaded models, and the orders that change them.
 
 The protocol is in ``mothstand.upstreams.orders``.
 """
@@ -17,7 +17,7 @@
 
 
 class _SetupBody(BaseModel):
-    """An order, and what an engine has loaded."""
+    """Body of an order, and of the report on the loaded setup."""
 
     models: list[dict[str, str]] = Field(default_factory=list)
     role: str = "mixed"
@@ -25,14 +25,14 @@
 
 
 class SetupStandIn:
-    """What an engine has loaded, and the orders that change it.
+    """Loaded models of an engine, and the orders that change them.
 
     Parameters
     ----------
-    orders
-        ``none`` serves any model, ``fenced`` refuses old orders, ``unfenced`` takes any.
+    order_mode
+        ``none`` serves any model, ``fenced`` refuses old orders, ``unfenced`` accepts any order.
     load_s
-        Seconds that an order takes.
+        Seconds that the load for an order takes.
     """
 
     def __init__(self, orders: str, load_s: float) -> None:
@@ -44,17 +44,17 @@
         self._journal: list[dict[str, object]] = []
 
     def serves(self, model: object) -> bool:
-        """Return whether the model is loaded."""
+        """Return whether the model is loaded or orders are not needed."""
         return self._orders == "none" or any(m["name"] == model for m in self._setup.models)
 
     async def look(self, _: Request) -> Response:
-        """Return what is loaded."""
+        """Return the loaded setup."""
         report = self._setup.model_dump()
         report["fencing"] = self._fencing if self._orders == "fenced" else 0
         return JSONResponse({**report, "loading": self._loading > 0})
 
     async def order(self, request: Request) -> Response:
-        """Load what is ordered."""
+        """Accept an order and load its setup, unless the order is stale."""
         order = _SetupBody.model_validate_json(await request.body())
         stale = self._orders == "fenced" and order.fencing < self._fencing
         self._journal.append({**order.model_dump(), "stale": stale})
--- a/mothstand/standins/platform.py
+++ b/mothstand/standins/platform.py
@@ -1,11 +1,11 @@
 """Stand-in of the platform: the append-only log and the instance list.
 
-Run as ``python -m mothstand.standins.platform --address IP:PORT``. Beside the published protocol
-(see ``mothstand.platform``) it serves what tests need:
+Run as ``python -m mothstand.standins.platform --address IP:PORT``. In addition to the published
+protocol (see ``mothstand.platform``) it serves paths for tests:
 
 - ``POST /faults`` with ``{"mode": M, "callers": [...], "delay_s": S}``, M one of ``ok``, ``down``,
-  ``slow`` and ``lose``, makes the platform fail for all callers, or for those named, told apart by
-  ``x-caller``. ``lose`` appends and then gives no answer.
+  ``slow`` and ``lose``, makes the platform fail for all callers, or for the given ones, identified
+  by ``x-caller``. ``lose`` appends and then gives no answer.
 - ``POST /instances`` replaces the instance list.
 - ``POST /trim`` with ``{"stream": NAME, "before": OFFSET}`` drops old records.
 - ``GET /counts`` returns appends for each stream.
@@ -34,7 +34,7 @@
 
 
 class Faults(BaseModel):
-    """How the platform fails."""
+    """Faults to inject into the platform."""
 
     mode: Literal["ok", "down", "slow", "lose"] = "ok"
     callers: list[str] = Field(default_factory=list)
@@ -46,7 +46,7 @@
 
 
 class Trim(BaseModel):
-    """An order to drop old records."""
+    """Request to drop old records."""
 
     stream: str
     before: int
@@ -54,7 +54,7 @@
 
 @dataclass(slots=True)
 class Stream:
-    """One stream; offsets count from 1."""
+    """Stream of the log; offsets start at 1."""
 
     records: dict[int, str] = field(default_factory=dict)
     next_offset: int = 1
@@ -71,7 +71,7 @@
 
 
 class PlatformStandIn:
-    """The platform in one process's memory."""
+    """HTTP handlers and in-memory state of the platform."""
 
     def __init__(self) -> None:
         self.streams: dict[str, Stream] = {}
@@ -124,7 +124,7 @@
         return JSONResponse({})
 
     async def set_faults(self, request: Request) -> Response:
-        """Fail from now on as ordered."""
+        """Replace the injected faults."""
         self.faults = Faults.model_validate_json(await request.body())
         return JSONResponse({})
 
@@ -137,7 +137,7 @@
         return JSONResponse({})
 
     async def counts(self, _: Request) -> Response:
-        """Return appends for each stream."""
+        """Return the number of appends for each stream."""
         return JSONResponse(dict(self.appends))
 
     def app(self) -> Starlette:
--- a/mothstand/standins/service.py
+++ b/mothstand/standins/service.py
@@ -1,8 +1,8 @@
-"""Stand-in of a plain service, whose calls have an effect that must not be doubled.
+"""Stand-in of a plain service whose calls have an effect that must not be repeated.
 
-Run as ``python -m mothstand.standins.service --address IP:PORT --name NAME``. Each call is one
-effect, whatever its key: the stand-in does not deduplicate. ``GET /journal`` lists the effects,
-``POST /faults`` makes it fail.
+Run as ``python -m mothstand.standins.service --address IP:PORT --name NAME``. Each call has one
+effect regardless of its key: the stand-in does not deduplicate. ``GET /journal`` lists the effects,
+``POST /faults`` makes calls fail.
 """
 
 from __future__ import annotations
@@ -25,17 +25,17 @@
 
 
 class ServiceFaults(BaseModel):
-    """How the service fails; ``lose`` has the effect and then breaks the connection."""
+    """Faults to inject; ``lose`` has the effect and then breaks the connection."""
 
     mode: Literal["ok", "refuse", "lose"] = "ok"
     delay_s: float = 0.0
 
 
 class LostAnswer(Response):
-    """Promises a body and ends without it, so that the server breaks the connection."""
+    """Response that ends before its declared length, so that the server breaks the connection."""
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Send the start of an answer only."""
+        """Send only the start of an answer."""
         headers = [(b"content-length", b"1000")]
         await send({"type": "http.response.start", "status": 200, "headers": headers})
         await send({"type": "http.response.body", "body": b"{", "more_body": False})
@@ -43,14 +43,14 @@
 
 @dataclass(slots=True)
 class Effect:
-    """One effect."""
+    """Effect of a call, in the journal."""
 
     request_id: str
     body: str
 
 
 class ServiceStandIn:
-    """One plain service."""
+    """HTTP handlers and effects of one service."""
 
     def __init__(self, name: str) -> None:
         self._name = name
@@ -58,7 +58,7 @@
         self._faults = ServiceFaults()
 
     async def call(self, request: Request) -> Response:
-        """Have one effect and answer its number."""
+        """Have one effect and answer with its number."""
         body = (await request.body()).decode(errors="replace")
         if self._faults.mode == "refuse":
             return JSONResponse({"error": "not run"}, status_code=503)
@@ -75,7 +75,7 @@
         return JSONResponse([asdict(effect) for effect in self._effects])
 
     async def set_faults(self, request: Request) -> Response:
-        """Fail from now on as ordered."""
+        """Replace the injected faults."""
         self._faults = ServiceFaults.model_validate_json(await request.body())
         return JSONResponse({})
 
--- a/mothstand/standins/serving.py
+++ b/mothstand/standins/serving.py
@@ -1,4 +1,4 @@
-"""Serving a stand-in's application."""
+"""HTTP server for the stand-ins' applications."""
 
 from __future__ import annotations
 
--- a/mothstand/standins/users_engine.py
+++ b/mothstand/standins/users_engine.py
@@ -1,9 +1,9 @@
-"""Stand-in of a model engine of the users' platform: a stream of numbered events.
+"""Stand-in of a model engine of the users' platform, which streams numbered events.
 
 Run as ``python -m mothstand.standins.users_engine --address IP:PORT --upstream-id ID``. It refuses
-a request that expects another id, and goes on after ``Last-Event-Id``. ``GET /journal`` lists what
-it ran. With ``--crash-body TEXT`` it ends once it begins to run a request with that body; with
-``--arrivals PATH`` it appends a line to a file for each request that reaches it, which outlasts it.
+a request that expects another id, and continues after ``Last-Event-Id``. ``GET /journal`` lists the
+requests that it ran. With ``--crash-body TEXT`` it crashes soon after it starts a request with that
+body. With ``--arrivals PATH`` it appends a line for each request to a file, which outlives it.
 """
 
 from __future__ import annotations
@@ -38,12 +38,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A request that reached an engine, or the engine's end under it.
+    """Request that reached an engine, or the crash of the engine during that request.
 
     Parameters
     ----------
     at_s
-        On the monotonic clock, which all processes of a machine share.
+        Time on the monotonic clock, which all processes of a machine share.
     """
 
     at_s: float
@@ -54,14 +54,14 @@
 
 
 class UsersEngineStandIn:
-    """One engine.
+    """HTTP handlers and state of one engine.
 
     Parameters
     ----------
     crash_body
-        Body of requests that end the engine; empty for none.
-    arrivals
-        File for a line of each arrival; None for none.
+        Body of requests that crash the engine; empty for none.
+    arrivals_path
+        File that receives a line for each arrival; None for none.
     """
 
     def __init__(
@@ -74,7 +74,7 @@
         self._journal: list[dict[str, str]] = []
 
     async def run(self, request: Request) -> Response:
-        """Stream the events that the caller lacks."""
+        """Stream the events after the caller's ``Last-Event-Id``."""
         if request.headers.get("X-Expected-Instance") != self._upstream_id:
             return Response(status_code=_MISDIRECTED)
         request_id = request.headers["X-Request-Id"]
@@ -106,7 +106,7 @@
             lines.write(json.dumps(asdict(arrival)) + "\n")
 
     async def journal(self, _: Request) -> Response:
-        """Return the headers of the requests that were run."""
+        """Return the headers of all requests that ran."""
         return JSONResponse(self._journal)
 
 
--- a/mothstand/standins/users_store.py
+++ b/mothstand/standins/users_store.py
@@ -1,8 +1,8 @@
-"""Stand-in of the store of the users' platform, by its published protocol.
+"""Stand-in of the store of the users' platform, with its published protocol.
 
 Run as ``python -m mothstand.standins.users_store --address IP:PORT``. ``POST /put?key=K`` with
-``topic`` writes a record as operators and upstreams do; ``POST /away?on=1`` makes every other call
-fail with 503 until ``on=0``.
+``topic`` writes a record as operators and upstreams do; ``POST /away?on=1`` makes the calls of the
+protocol fail with 503 until ``on=0``.
 """
 
 from __future__ import annotations
@@ -35,18 +35,18 @@
 
 
 class UsersStoreStandIn:
-    """Keyed topics in memory."""
+    """HTTP handlers for keyed topics in memory."""
 
     def __init__(self) -> None:
         self._store = MemoryStore()
         self._away = False
 
     async def append(self, request: Request) -> Response:
-        """Append records, under a condition if there is one."""
+        """Append records, if the end of the stream is at the given offset, if any."""
         if self._away:
             return Response(status_code=_AWAY)
         stream = _stream(request)
-        # Appended records have the form of a page's, which has a head before them.
+        # Appended records have the format of a page without its head.
         page = decode_page(struct.pack(">QQ", 0, 0) + await request.body(), 0)
         at_offset = request.query_params.get("at")
         condition = None if at_offset is None else int(at_offset)
@@ -57,7 +57,7 @@
         return JSONResponse({"offset": end - len(page.records), "end": end})
 
     async def read(self, request: Request) -> Response:
-        """Return records, waiting for the first one."""
+        """Return records after waiting for the first one."""
         stream, from_offset = _stream(request), int(request.query_params["from"])
         with anyio.move_on_after(int(request.query_params.get("wait_ms", 0)) / 1000):
             while not self._store.read(stream, from_offset).records and not self._away:
@@ -85,7 +85,7 @@
         return JSONResponse({})
 
     async def set_away(self, request: Request) -> Response:
-        """Go away, or come back."""
+        """Begin or end an outage."""
         self._away = request.query_params["on"] == "1"
         return JSONResponse({})
 
--- a/mothstand/tests/test_explain.py
+++ b/mothstand/tests/test_explain.py
@@ -1,4 +1,4 @@
-"""What `mothstand explain` makes of instances' logs."""
+"""Tests of `mothstand explain` on logs of instances."""
 
 from __future__ import annotations
 
@@ -59,10 +59,10 @@
         }
 
     def test_what_is_in_doubt_is_neither_consumed_nor_stranded(self) -> None:
-        """Symptom: most of a budget is called stranded with the dead, and nothing is.
+        """Guards against reporting uncertain tokens as stranded.
 
-        Sequence: callers leave before their answers begin; the holder of the tokens dies.
-        Cause: claims say as spent only what surely was.
+        Callers disconnect before their answers begin and then the holder of the tokens dies. Claims
+        report only confirmed tokens as spent.
         """
         left = line(
             "10:00:03.0", 7004, "request_left", workspace="lund", tokens=80, tokens_in_doubt=80
--- a/mothstand/tests/test_failures.py
+++ b/mothstand/tests/test_failures.py
@@ -1,6 +1,6 @@
-"""Failures of real processes: kills, pauses, cuts, outages, replacement, under load.
+"""Tests of real processes that are killed, paused, cut off or replaced under load.
 
-Each test ends with the history checker, which compares callers, engines and the log.
+Most tests end with the history checker, which compares callers, engines and the log.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 
 
 def check_history(fleet: Fleet, load: Load, *, paid_tokens: int = 1_000_000) -> LogView:
-    """Wait for the bills of all whole answers, then check the run."""
+    """Wait for the bills of all complete answers, then check the run."""
     answered = [record for record in load.records if record.outcome is CallOutcome.WHOLE]
 
     def unbilled() -> list[CallRecord]:
@@ -68,22 +68,22 @@
 
 
 def live_urls(fleet: Fleet, *names: str) -> list[str]:
-    """Return the URLs of instances that the balancer has not found dead."""
+    """Return the URLs of instances whose processes are running."""
     return [fleet.processes[n].url for n in names if fleet.processes[n].process.poll() is None]
 
 
 def false_refusals(load: Load, after_s: float) -> list[str]:
-    """Return the kinds of refusals of requests that began after a moment."""
+    """Return the kinds of refusals of requests that began after `after_s`."""
     return [r.kind for r in load.records if r.outcome is CallOutcome.REFUSED and r.at_s > after_s]
 
 
 class TestKills:
     @pytest.mark.parametrize("victim", ["holder", "witness"])
     def test_kill_of_one(self, pair: Fleet, victim: str) -> None:
-        """Symptom: after an instance died, tokens are lost or requests are refused for long.
+        """Guards against lost tokens and long refusals after an instance died.
 
-        Sequence: load, kill of the leaseholder (or its witness), load goes on at the other.
-        Cause it guards against: a grant that dies with its holder; a takeover that does not come.
+        The leaseholder or its witness is killed under load, which continues at the other instance.
+        The grant may be lost with its holder, or the takeover may not happen.
         """
         holder, witness = "", ""
         with Load(lambda: live_urls(pair, *INSTANCES)) as load:
@@ -99,10 +99,10 @@
         assert sum(f.stranded_tokens(LUND) for f in view.ledgers.values()) < 1_000_000 // 3
 
     def test_kill_of_both_strands_at_most_their_grant(self, pair: Fleet) -> None:
-        """Symptom: more is spent than was paid after leaseholder and witness died.
+        """Guards against overspending after leaseholder and witness died.
 
-        Sequence: load, kill of both instances, two new ones start at other addresses, load.
-        Cause it guards against: granting again what nobody can vouch for.
+        Both instances are killed under load and two new ones start at other addresses. Tokens of
+        the old grant must not be granted again, since their use is unknown.
         """
         with Load(lambda: live_urls(pair, *INSTANCES)) as load:
             wait_until(lambda: load.count(CallOutcome.WHOLE) > 20, "load runs")
@@ -117,10 +117,10 @@
 
 
 def check_history_without_bills_of_the_dead(fleet: Fleet, load: Load) -> None:
-    """Check a run in which entry, holder and witness died at once.
+    """Check a run in which entry, holder and witness were killed at once.
 
-    The bills of their last posting interval are gone, while their grant stays written off; that
-    is the one loss that docs/design/budgets.md declares.
+    The bills of their last posting interval are lost and their grant stays written off. This is the
+    only loss that docs/design/budgets.md allows.
     """
     view = view_of(fleet)
     billed = sum(line.tokens for line in view.bills.lines.values())
@@ -139,10 +139,10 @@
 
 class TestPauses:
     def test_holder_paused_past_its_lease_wakes(self, pair: Fleet) -> None:
-        """Symptom: two leaseholders spend the same tokens.
+        """Guards against two leaseholders that spend the same tokens.
 
-        Sequence: SIGSTOP of the leaseholder under load, takeover by the witness, SIGCONT.
-        Cause it guards against: a process that goes on with a lease it lost while it slept.
+        The leaseholder gets SIGSTOP under load, the witness takes over, then SIGCONT. The resumed
+        process must not continue with the lease that expired in the pause.
         """
         with Load(lambda: live_urls(pair, *INSTANCES)) as load:
             wait_until(lambda: load.count(CallOutcome.WHOLE) > 20, "load runs")
@@ -159,11 +159,10 @@
 
 class TestOutages:
     def test_log_out_and_top_up_in_the_middle(self, pair: Fleet, tmp_path: Path) -> None:
-        """Symptom: a data centre cut off from the platform refuses, or spends what it has not.
+        """Guards against refusals and overspending in a data centre cut off from the platform.
 
-        Sequence: load, the log is out for both instances, the operator tops up, the log is back.
-        Cause it guards against: asking the log for each request; spending a top-up before the
-        log has granted it.
+        Under load, the log is unreachable for both instances while the operator tops up. Instances
+        must not need the log for each request, nor spend a top-up before the log grants it.
         """
         with Load(lambda: live_urls(pair, *INSTANCES)) as load:
             wait_until(lambda: load.count(CallOutcome.WHOLE) > 50, "load runs")
@@ -181,10 +180,10 @@
         assert false_refusals(load, cut_s) == []
 
     def test_log_loses_answers_after_their_effect(self, pair: Fleet) -> None:
-        """Symptom: bills or grants count twice.
+        """Guards against bills or grants that count twice.
 
-        Sequence: the log appends and gives no answer; the writers append again.
-        Cause it guards against: taking an unanswered append for one that did not happen.
+        The log appends and gives no answer, so the writers append again. An unanswered append must
+        not be taken for one that did not happen.
         """
         with Load(lambda: live_urls(pair, *INSTANCES)) as load:
             wait_until(lambda: load.count(CallOutcome.WHOLE) > 20, "load runs")
@@ -195,10 +194,10 @@
         check_history(pair, load)
 
     def test_instance_that_starts_while_the_platform_is_out(self, pair: Fleet) -> None:
-        """Symptom: a replacement refuses everything, or serves an old configuration.
+        """Guards against a replacement that refuses everything or serves an old configuration.
 
-        Sequence: the log is out, an instance starts that knows one peer from its settings.
-        Cause it guards against: taking the configuration from nowhere but the log.
+        An instance starts in an outage of the log and knows one peer from its settings. It must
+        not depend on the log alone for its configuration.
         """
         pair.set_faults("platform", mode="down", callers=["sto-a-3"])
         seed = pair.processes["sto-a-1"].peers_address
@@ -210,10 +209,10 @@
 
 class TestReplacement:
     def test_every_instance_one_by_one(self, pair: Fleet) -> None:
-        """Symptom: a rolling replacement strands tokens or refuses callers.
+        """Guards against a rolling replacement that strands tokens or refuses callers.
 
-        Sequence: SIGTERM of each instance in turn, a new one in its place, under load.
-        Cause it guards against: a stop that leaves without handing its epochs over.
+        Under load, each instance in turn gets SIGTERM after its replacement is ready. It must hand
+        its epochs over before it stops.
         """
         leaving: set[str] = set()
         names = list(INSTANCES)
@@ -242,10 +241,10 @@
 
 class TestRelease:
     def test_what_a_dead_leaseholder_holds_back(self, pair: Fleet) -> None:
-        """Symptom: tokens that are paid for can never be spent, or are given back too early.
+        """Guards against paid tokens that stay stranded or are returned too early.
 
-        Sequence: an operator releases an epoch while its leaseholder lives, and after its death.
-        Cause it guards against: a write-off without a way back, or one that asks nobody.
+        An operator releases an epoch while its leaseholder is alive, and after it died. A write-off
+        must be reversible, but not before the leaseholder was probed.
         """
         for _ in range(20):
             assert chat(pair.processes["sto-a-1"].url).status_code == 200
@@ -280,10 +279,10 @@
 
 class TestTrimming:
     def test_instance_that_starts_after_trimming(self, empty_fleet: Fleet, tmp_path: Path) -> None:
-        """Symptom: a replacement has no configuration, or grants what was granted before.
+        """Guards against a replacement without configuration or with repeated grants.
 
-        Sequence: many grants and changes, the log trims the old ones, both instances are replaced.
-        Cause it guards against: state that only the trimmed records tell of.
+        After many grants and changes the log trims the old records and a new instance starts. No
+        state may depend on the trimmed records alone.
         """
         fleet = empty_fleet
         fleet.start_engine("llm-a", "sto-a")
@@ -306,7 +305,7 @@
 
 
 def publish_at_once(fleet: Fleet, folder: Path) -> None:
-    """Publish a folder without waiting for it to be in force."""
+    """Publish a folder without waiting until it is in force."""
 
     async def run() -> None:
         log = HttpLog(fleet.platform.url, caller="test", timeout_s=5.0)
@@ -317,12 +316,12 @@
 
 
 def raw_stream(fleet: Fleet, stream: str) -> str:
-    """Return a stream's records as text."""
+    """Return the records of a stream as text."""
     url = f"{fleet.platform.url}/streams/{stream}/records?from=1&wait_s=0"
     return httpx.get(url, trust_env=False).text
 
 
 def trim(fleet: Fleet, stream: str, *, before: int) -> None:
-    """Let the log drop old records."""
+    """Make the log drop the records before an offset."""
     order = {"stream": stream, "before": before}
     httpx.post(f"{fleet.platform.url}/trim", json=order, trust_env=False)
--- a/mothstand/tests/test_orders.py
+++ b/mothstand/tests/test_orders.py
@@ -1,4 +1,4 @@
-"""Orders to engines: who sends them, when, and what engines end up with."""
+"""Tests of orders to engines: their issuers, their timing and the resulting setups."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def report(setup: EngineSetup = NOTHING, *, fencing: int = 0, loading: bool = False) -> Any:
-    """Return what an engine says."""
+    """Return a report of an engine."""
     return EngineReport(setup, fencing, loading)
 
 
@@ -61,19 +61,19 @@
         assert planner.decide(self.A, report(loading=True), config, 0.0) is None
 
     def test_instance_that_is_behind_orders_nothing(self) -> None:
-        """Symptom: an engine goes back to an old version.
+        """Guards against an engine that returns to an old version.
 
-        Sequence: the engine has taken an order of offset 9, an instance at offset 7 looks at it.
-        Cause it guards against: taking what differs for what is old.
+        The engine accepted an order of offset 9 and an instance at offset 7 polls it. A setup that
+        differs must not be taken for an old one.
         """
         config = state(7, self.A)
         assert self.planner(config).decide(self.A, report(fencing=9), config, 0.0) is None
 
     def test_engines_of_a_data_centre_load_in_turn(self) -> None:
-        """Symptom: a new version takes all engines away at once, and the weight store's limit.
+        """Guards against a new version that makes all engines load at once.
 
-        Sequence: the version of a model changes.
-        Cause it guards against: ordering each engine as soon as it differs.
+        That leaves no engine to serve and exceeds the limit of the weight store. It happens if each
+        engine gets its order as soon as its setup differs.
         """
         config = state(7, self.A, self.B)
         planner = self.planner(config)
@@ -94,11 +94,10 @@
         assert planner.decide(unchecked, report(), config, wait_s) is not None
 
     def test_order_that_was_held_up_is_not_sent(self) -> None:
-        """Symptom: an engine that takes any order goes back to an old version.
+        """Guards against an unfenced engine that returns to an old version.
 
-        Sequence: an issuer is stopped between its decision and the send, another orders something
-        newer, the first wakes.
-        Cause it guards against: acting on a decision of any age.
+        An issuer is paused between its decision and the send, another issuer sends a newer order,
+        and the first one resumes and sends an order that it decided on long ago.
         """
         config = state(7, self.A)
         planner = self.planner(config)
@@ -108,10 +107,9 @@
         assert not planner.may_send(order, 60.0)
 
     def test_contested_engine_is_ordered_ever_less_often(self) -> None:
-        """Symptom: an engine loads weights again and again, and serves nothing.
+        """Guards against an engine that loads weights again and again and serves nothing.
 
-        Sequence: something that we do not know of undoes each order.
-        Cause it guards against: an answer to each difference, at once.
+        An unknown party undoes each order, and each difference is answered by an immediate order.
         """
         config = state(7, self.A)
         planner = self.planner(config)
@@ -137,11 +135,10 @@
 class TestHistories:
     @pytest.mark.parametrize("seed", range(30))
     def test_every_engine_ends_with_what_it_should_have(self, seed: int) -> None:
-        """Symptom: an engine stays at an old version, or in another's role.
+        """Guards against an engine that stays at an old version or in another engine's role.
 
-        Sequence: issuers with old configurations and wrong views of who is alive, orders that
-        arrive late and out of turn; then the faults end.
-        Cause it guards against: an order taken for done because it was sent.
+        Issuers have old configurations and wrong membership views, and orders arrive late and out
+        of order, until the faults end. An order that was sent must not be taken for done.
         """
         history = OrderHistory(random.Random(seed))
         history.run(400)
@@ -179,7 +176,7 @@
 
 
 def order_folder(fleet: Fleet, folder: Path, version: str) -> Path:
-    """Write a folder whose engines take orders, and return it."""
+    """Write a folder whose engines accept orders, and return it."""
     write_folder(folder, fleet)
     text = (folder / "10-all.ini").read_text(encoding="utf-8")
     for name, process in fleet.processes.items():
@@ -195,7 +192,7 @@
 
 
 def loaded(fleet: Fleet, name: str) -> str:
-    """Return the version that an engine has loaded."""
+    """Return the version that an engine has loaded; empty while it loads."""
     setup = httpx.get(f"{fleet.processes[name].url}/v1/setup", trust_env=False).json()
     return "" if setup["loading"] or not setup["models"] else str(setup["models"][0]["version"])
 
@@ -205,11 +202,10 @@
     def test_engines_converge_though_an_issuer_is_paused(
         self, empty_fleet: Fleet, tmp_path: Path
     ) -> None:
-        """Symptom: an engine serves an old version for good.
+        """Guards against an engine that serves an old version permanently.
 
-        Sequence: each issuer in turn is paused, a new version is published, it wakes.
-        Cause it guards against: an order of a paused issuer that comes after a newer one, at an
-        engine that refuses it and at one that does not.
+        Each issuer in turn is paused, a new version is published and the issuer resumes. Its old
+        order may arrive after a newer one, at an engine that refuses it and at one that does not.
         """
         fleet = empty_fleet
         fleet.timing += "\norders_look_s = 0.2"
@@ -224,7 +220,7 @@
             fleet.processes[paused].pause()
             time.sleep(1.5)
             order_folder(fleet, folder, str(version))
-            # It waits for the paused instance in vain; what counts is that it is accepted.
+            # The command waits in vain for the paused instance; it only has to be accepted.
             assert "accepted" in fleet.publish(folder).stdout
             both_have(fleet, str(version))
             fleet.processes[paused].resume()
--- a/mothstand/upstreams/__init__.py
+++ b/mothstand/upstreams/__init__.py
@@ -1,1 +1,1 @@
-"""Clients of what the fleet routes to: model engines and plain services."""
+"""Clients of the upstreams: model engines and plain services."""
--- a/mothstand/upstreams/client.py
+++ b/mothstand/upstreams/client.py
@@ -1,4 +1,4 @@
-"""HTTP to upstreams, with the one thing that refusals rest on: whether a byte may have left."""
+"""HTTP client for upstreams; its errors say whether a request may have run."""
 
 from __future__ import annotations
 
@@ -17,32 +17,32 @@
     from ..settings.instance import TimingSection
 
 
-#: Statuses by which an upstream says that it did not run a request.
+#: Statuses that mean that an upstream did not run a request.
 NOT_RUN_STATUSES = (429, 503)
 
 
 class NotRunError(Exception):
-    """No byte of the request has left this process, or the upstream says that it did not run."""
+    """No byte of the request was sent, or the upstream reports that it did not run."""
 
 
 class MayHaveRunError(Exception):
-    """The connection failed after it stood: the upstream may have got the request."""
+    """The connection failed after it was established: the upstream may have the request."""
 
 
 class UpstreamClient:
-    """Sends requests to upstreams.
+    """HTTP client for all upstreams.
 
     Parameters
     ----------
     timing
-        Timeouts for connecting and between two bytes.
+        Timeouts for connecting and for the time between two bytes.
 
     Notes
     -----
-    A request leaves this process in `send` only. An error while connecting is `NotRunError`;
-    anything later is `MayHaveRunError`, also where a kept connection turns out to be dead, which
-    cannot be told from a request that was read and then lost. Calls that may not be repeated
-    therefore get a new connection each.
+    Only `send` sends requests. An error while connecting is `NotRunError`; any later error is
+    `MayHaveRunError`. That includes a pooled connection that turns out to be dead, since it looks
+    the same as a request that was read and then lost. Calls that must not be repeated therefore
+    use a new connection each.
     """
 
     def __init__(self, timing: TimingSection) -> None:
@@ -71,17 +71,17 @@
         headers: dict[str, str],
         once: bool = False,
     ) -> AsyncIterator[httpx.Response]:
-        """Send a POST and give its response, body unread.
+        """Send a POST and yield its response with the body unread.
 
         Parameters
         ----------
-        once
-            The call may not be repeated.
+        at_most_once
+            Whether the call must not be repeated.
 
         Raises
         ------
         NotRunError, MayHaveRunError
-            Also while the caller reads the body inside the context.
+            Also raised while the caller reads the body inside the context.
         """
         client = self._fresh if once else self._kept
         headers = {**headers, LOAD_FORMAT_HEADER: LOAD_FORMAT}
--- a/mothstand/upstreams/orders.py
+++ b/mothstand/upstreams/orders.py
@@ -1,10 +1,10 @@
-"""Looks at engines and orders them, over HTTP.
+"""HTTP client that polls engines and sends them orders.
 
 - ``GET /v1/setup`` answers ``{"models": [{"name", "version", "base"}], "role", "fencing",
   "loading"}``.
-- ``POST /v1/setup`` with ``{"models", "role", "fencing"}`` orders the whole setup. It answers 202
-  when the engine has taken it, 409 when its fencing number is old, 429 when the weight store gives
-  it nothing just now. Running requests end as they began.
+- ``POST /v1/setup`` with ``{"models", "role", "fencing"}`` orders the complete setup. It answers
+  202 if the engine accepts it, 409 if the fencing number is old, 429 if the weight store is busy.
+  Running requests finish under the setup that they began with.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 class OrderOutcome(Enum):
-    """What became of an order."""
+    """Outcome of an order."""
 
     TAKEN = "taken"
     STALE = "refused as stale"
@@ -37,25 +37,25 @@
 
 
 class EngineError(Exception):
-    """An engine did not answer, or not usefully."""
+    """An engine gave no usable answer."""
 
 
 class EngineControl(ABC):
-    """Looks at engines and orders them."""
+    """Interface to poll engines and send them orders."""
 
     @abstractmethod
     async def look(self, engine: Upstream) -> EngineReport:
-        """Return what an engine says of itself.
+        """Return an engine's report on its setup.
 
         Raises
         ------
         EngineError
-            If it does not.
+            If the engine gives no usable answer.
         """
 
     @abstractmethod
     async def order(self, order: Order) -> OrderOutcome:
-        """Send an order and return what became of it."""
+        """Send an order and return its outcome."""
 
 
 class _ModelBody(BaseModel):
@@ -79,19 +79,19 @@
 
 
 class HttpEngineControl(EngineControl):
-    """Engines over HTTP.
+    """Control of engines over HTTP.
 
     Parameters
     ----------
     timeout_s
-        Longest wait for an answer.
+        Maximum wait for an answer.
     """
 
     def __init__(self, timeout_s: float) -> None:
         self._http = httpx.AsyncClient(timeout=timeout_s, trust_env=False)
 
     async def look(self, engine: Upstream) -> EngineReport:
-        """Return what an engine says of itself."""
+        """Return an engine's report on its setup."""
         try:
             answer = await self._http.get(f"http://{engine.address}{SETUP_PATH}")
             answer.raise_for_status()
@@ -102,7 +102,7 @@
         return EngineReport(EngineSetup(tuple(models), body.role), body.fencing, body.loading)
 
     async def order(self, order: Order) -> OrderOutcome:
-        """Send an order and return what became of it."""
+        """Send an order and return its outcome."""
         body = {
             "models": [asdict(model) for model in order.setup.models],
             "role": order.setup.role,
