--- a/mothstand/operators/release.py
+++ b/mothstand/operators/release.py
@@ -1,4 +1,4 @@
-"""Releases the tokens of a superseded epoch, given an operator's word that its processes died."""
+"""Releases the tokens of a superseded epoch whose processes have died, for an operator."""
 
 from __future__ import annotations
 
--- a/mothstand/tests/test_orders.py
+++ b/mothstand/tests/test_orders.py
@@ -192,7 +192,7 @@
 
 
 def loaded_version(fleet: Fleet, name: str) -> str:
-    """Return the version that an engine has loaded; empty while it loads."""
+    """Return the version that an engine has loaded; empty for none or while it loads."""
     setup = httpx.get(f"{fleet.processes[name].url}/v1/setup", trust_env=False).json()
     return "" if setup["loading"] or not setup["models"] else str(setup["models"][0]["version"])
 
