--- a/mothstand/testing/crash_histories.py
+++ b/mothstand/testing/crash_histories.py
@@ -88,6 +88,10 @@
     ENGINES_CRASH = auto()
     RESETS = auto()
 
+    def __repr__(self) -> str:
+        """Return the text that seeds random numbers; seeds that once failed depend on it."""
+        return f"<CrashTrouble.{self.name}: {self.value}>"
+
 
 ALL_CRASH_DISRUPTIONS = (
     CrashDisruption.KILLS
--- a/mothstand/testing/load.py
+++ b/mothstand/testing/load.py
@@ -135,7 +135,7 @@
             result = read_answer(response.status_code, response.text, stream=bool(body["stream"]))
             result["request_id"] = response.headers.get("x-request-id", "")
         except httpx.HTTPError:
-            result = {"got": CallOutcome.LOST}
+            result = {"outcome": CallOutcome.LOST}
         return CallRecord(
             prompt=prompt,
             elapsed_s=time.monotonic() - started_s,
@@ -150,11 +150,11 @@
     """Return the fields of a `CallRecord` that an HTTP answer gives."""
     if status != 200:
         error = json.loads(text)["error"]
-        return {"got": CallOutcome.REFUSED, "run_state": error["run_state"], "kind": error["code"]}
+        return {"outcome": CallOutcome.REFUSED, "run_state": error["run_state"], "kind": error["code"]}
     if not stream:
         value = json.loads(text)
         return {
-            "got": CallOutcome.WHOLE,
+            "outcome": CallOutcome.WHOLE,
             "text": value["choices"][0]["message"]["content"],
             "usage_tokens": value["usage"]["total_tokens"],
         }
@@ -166,8 +166,8 @@
             continue
         value = json.loads(event)
         if "error" in value:
-            return {"got": CallOutcome.BROKEN, "text": "".join(pieces)}
+            return {"outcome": CallOutcome.BROKEN, "text": "".join(pieces)}
         pieces.extend(choice["delta"].get("content", "") for choice in value["choices"])
         usage_tokens = value["usage"]["total_tokens"] if value.get("usage") else usage_tokens
     got = CallOutcome.WHOLE if events and events[-1] == "[DONE]" else CallOutcome.LOST
-    return {"got": got, "text": "".join(pieces), "usage_tokens": usage_tokens}
+    return {"outcome": got, "text": "".join(pieces), "usage_tokens": usage_tokens}
--- a/mothstand/testing/retry_histories.py
+++ b/mothstand/testing/retry_histories.py
@@ -60,6 +60,10 @@
     JUMPS = auto()
     FREEZES = auto()
 
+    def __repr__(self) -> str:
+        """Return the text that seeds random numbers, which must not change."""
+        return f"<Trouble.{self.name}: {self.value}>"
+
 
 ALL_DISRUPTIONS = (
     Disruption.KILLS
