--- a/mothstand/testing/__init__.py
+++ b/mothstand/testing/__init__.py
@@ -1,1 +1,1 @@
-"""Public assertions, fakes and checkers for tests of the fleet."""
+"""Fakes, simulations and checkers for tests of the fleet."""
--- a/mothstand/testing/budget_fleet.py
+++ b/mothstand/testing/budget_fleet.py
@@ -1,7 +1,7 @@
-"""Many instances that share one prepaid budget, in one process and in virtual time.
+"""A simulated fleet that shares one prepaid budget, in one process and in virtual time.
 
-Real accounts, keepers and loans run against a store in memory; calls to the store and between
-instances take the time that they take on the users' platform.
+Real accounts, claim managers and loans run against a store in memory. Calls to the store and
+between instances take as long as on the users' platform.
 """
 
 from __future__ import annotations
@@ -44,19 +44,19 @@
     from ..gateway.lending import Handover, LoanReply, LoanRequest
     from ..gateway.store import KeyedRecord, Stream, StreamPage
 
-#: Calls of the store, and between instances, as on the users' platform.
+#: Seconds that a call to the store, or to another instance, takes on the users' platform.
 STORE_CALL_S = 0.006
 PEER_CALL_S = 0.002
 
 _BUDGET = BudgetName("seniors")
 
-#: Seconds that a stop has for giving back and handing over, where its requests end at once: of a
-#: grace of eight, three are the lame duck's.
+#: Seconds that a stopping instance has to return and hand over its tokens, if its requests end at
+#: once: of a grace period of 8 s, 3 s are spent as a lame duck.
 _STOP_S = 4.8
 
 
 class _SlowStoreLink(StoreLink):
-    """A way to the store that takes time and counts calls."""
+    """A store client whose calls take time and are counted."""
 
     def __init__(self, store: MemoryStore, fleet: BudgetFleet) -> None:
         super().__init__(store)
@@ -66,14 +66,14 @@
     async def append(
         self, stream: Stream, records: tuple[KeyedRecord, ...], *, at_offset: int | None = None
     ) -> None:
-        """Append after half of the call's time, and answer after the other."""
+        """Append after half of the call's time, and answer after the other half."""
         self._counts["store calls"] += 1
         await anyio.sleep(self._fleet.store_call_s / 2)
         await super().append(stream, records, at_offset=at_offset)
         await anyio.sleep(self._fleet.store_call_s / 2)
 
     async def read(self, stream: Stream, from_offset: int, *, wait_s: float = 0.0) -> StreamPage:
-        """Read after the call's time."""
+        """Read at the end of the call's time."""
         self._counts["store calls"] += 1
         await anyio.sleep(self._fleet.store_call_s)
         page = await super().read(stream, from_offset, wait_s=wait_s)
@@ -84,13 +84,13 @@
 
 
 class _LocalLink(SilentPeers):
-    """Calls to other instances of the same process."""
+    """Calls to other simulated instances in this process."""
 
     def __init__(self, fleet: BudgetFleet) -> None:
         self._fleet = fleet
 
     async def borrow(self, address: str, request: LoanRequest) -> LoanReply:
-        """Ask another instance for tokens."""
+        """Borrow tokens from another instance."""
         self._fleet.counts["loans"] += 1
         await anyio.sleep(PEER_CALL_S / 2)
         if address in self._fleet.dead:
@@ -100,12 +100,12 @@
         return reply
 
     async def hand_over(self, address: str, handover: Handover) -> None:
-        """Leave tokens to another instance."""
+        """Hand tokens over to another instance."""
         await self._reach(address)
         self._fleet.instances[address].accounts.take_over(handover)
 
     async def registrations_gapless_s(self, address: str) -> float:
-        """Return 0 for one that lives: nobody reads registrations."""
+        """Return 0 for a live instance: this simulation has no registrations."""
         await self._reach(address)
         return 0.0
 
@@ -117,7 +117,7 @@
 
 @dataclass(slots=True)
 class BudgetInstance:
-    """One process of an instance, as far as budgets go."""
+    """The budget part of one instance's process."""
 
     members: MemberFeed
     accounts: Accounts
@@ -130,31 +130,31 @@
             self.tasks.start_soon(self.accounts.run)
 
     def serve(self, work: Callable[[], Coroutine[Any, Any, None]]) -> None:
-        """Run a request, at most until the process ends."""
+        """Run a request, which is cancelled when the process ends."""
         assert self.tasks is not None, "a request before run()"
         self.tasks.start_soon(work)
 
     def kill(self) -> None:
-        """End the process and all that runs in it."""
+        """End the process and all its tasks."""
         if self.tasks is not None:
             self.tasks.cancel_scope.cancel()
 
 
 @dataclass(slots=True)
 class BudgetFleet:
-    """A fleet with one budget.
+    """A simulated fleet with one budget.
 
     Parameters
     ----------
     per_data_centre
-        Instances of each data centre.
+        Instances in each data centre.
     claimants
-        Of these, how many claim.
+        Number of these instances that claim tokens.
     used_share
-        What a request uses of its bound.
+        Share of its bound that a request uses.
     unanswered_share
-        Part of the requests whose upstreams show nothing of an answer, so that it stays open
-        whether they consumed anything.
+        Share of the requests whose upstreams send no part of an answer, so that their
+        consumption is uncertain.
     """
 
     data_centres: int
@@ -176,19 +176,19 @@
     _links: list[_SlowStoreLink] = field(default_factory=list)
 
     async def run(self, duration_s: float, *, requests_per_s: float, seed: int = 1) -> None:
-        """Start all instances, then send requests for a while.
+        """Start all instances, then send requests for `duration_s`.
 
-        The bound of a request is 1,000 to 17,000 tokens, of which `used_share` is spent in 0.4 s.
+        The bound of a request is 1,000 to 17,000 tokens; `used_share` of it is spent within 0.4 s.
         """
         rng = random.Random(seed)
-        # Of its own, so that the requests stay the same whatever becomes of them.
+        # A separate generator, so that the requests do not depend on their outcomes.
         answers = random.Random(seed)
         async with anyio.create_task_group() as tasks:
             self._tasks = tasks
             for number in range(self.data_centres):
                 for name in range(self.per_data_centre):
                     self._start(f"i{number}-{name}", DataCentre(f"d{number}"))
-            # As between the machines' start and the first callers.
+            # The time between the machines' start and the first callers.
             await anyio.sleep(5.0)
             self.counts.clear()
             ends_s = anyio.current_time() + duration_s
@@ -208,14 +208,14 @@
     async def restart(
         self, address: str, *, down_s: float, gives_back: bool = False, drains_s: float = 0.0
     ) -> None:
-        """End an instance's process, and start another one in its place after a while.
+        """End an instance's process, and start another one in its place after `down_s`.
 
         Parameters
         ----------
-        gives_back
-            Whether it is stopped, and can try to give back its claims, and not killed.
-        drains_s
-            How long before that it takes no more requests.
+        is_graceful
+            Whether the instance is stopped and can return its claims, instead of killed.
+        drain_s
+            How long before its end it accepts no more requests.
         """
         ended = self.instances[address]
         self.dead.add(address)
@@ -231,19 +231,19 @@
         self.dead.discard(address)
 
     def cut_off_from_store(self, cut: bool) -> None:
-        """Let no instance reach the store, or let all."""
+        """Cut all instances off from the store, or reconnect them."""
         self.is_cut = cut
         for link in self._links:
             link.is_cut = cut
 
     @property
     def served_share(self) -> float:
-        """Part of the requests that got their tokens."""
+        """Share of the requests whose tokens were reserved."""
         return self.counts["served"] / max(1, self.counts["asked"])
 
     @property
     def recorded_spent_tokens(self) -> int:
-        """What all instances together would write as spent."""
+        """Sum of the tokens that all instances would record as spent."""
         shards = [shard for i in self.instances.values() for shard in i.accounts.shards]
         return sum(
             shard.claim_manager.claims.held_budget(_BUDGET).recorded_spent_tokens
@@ -258,7 +258,7 @@
             return
         self.counts["served"] += 1
         used = int(tokens * self.used_share)
-        # What runs when its process dies is consumed all the same.
+        # A request that runs when its process dies consumes its tokens too.
         self.spent_tokens += used
         self.sure_tokens += used if is_answered else 0
         await anyio.sleep(0.4)
--- a/mothstand/testing/checker.py
+++ b/mothstand/testing/checker.py
@@ -1,6 +1,6 @@
-"""Checks the history of a run of real processes against what must always hold.
+"""Checks the history of a run of real processes for violations of the fleet's guarantees.
 
-It compares what callers got with what engines saw and with what the log says.
+Answers to callers are compared with the engines' journals and with the bills in the log.
 """
 
 from __future__ import annotations
@@ -27,20 +27,20 @@
 
     @property
     def tokens(self) -> int:
-        """What the run cost."""
+        """Tokens that the run used."""
         return self.prompt_tokens + self.completion_tokens
 
 
 @dataclass(frozen=True, slots=True)
 class RunHistory:
-    """All that is known of a run.
+    """Calls, journals and bills of a run.
 
     Parameters
     ----------
     bill_lines
-        As the fold of the bills stream accepted them.
+        Lines that the fold of the bills stream accepted.
     paid_tokens
-        The budget's paid total at the end.
+        Paid total of the budget at the end.
     """
 
     calls: tuple[CallRecord, ...]
@@ -50,7 +50,7 @@
 
 
 def find_violations(history: RunHistory) -> list[str]:
-    """Return a sentence for each violation; empty when all holds."""
+    """Return a sentence for each violation."""
     return [
         *_overspent(history),
         *_billed_twice(history),
--- a/mothstand/testing/claim_histories.py
+++ b/mothstand/testing/claim_histories.py
@@ -1,17 +1,17 @@
 """Random histories of claims, loans and renewals, checked against what was paid.
 
-Real keepers and loan books run against a store in memory. Processes are killed and start again,
-are cut off, suspended, and have their clocks moved; appends are lost, done without an answer, or
-done late; loans lose their answers; budgets are topped up.
-
-Checked after each step, since tokens that lie idle would hide most faults from a comparison of what
-was consumed with what was paid:
-
-- the newest claims in the store fit into what was paid;
-- what each process, living or dead, used and gave away is within its claim in the store, with the
-  requests that died running counted at their most;
-- no more was borrowed than was lent;
-- what all processes consumed is within what was paid, which follows from the rest.
+Real claim managers and loan logs run against a store in memory. Processes are killed and
+restarted, cut off and suspended, and their clocks jump; appends are lost, done without an answer,
+or done late; answers to loans are lost; budgets are topped up.
+
+The following is checked after each step. Comparing only consumed with paid tokens would miss most
+faults, because unused tokens hide them.
+
+- The newest claims in the store do not exceed the paid tokens.
+- What each process, alive or dead, used and gave away is within its claim in the store; requests
+  that ran when their process died count with their upper bound.
+- No more is borrowed than was lent.
+- All processes together consumed at most the paid tokens, which follows from the rest.
 """
 
 from __future__ import annotations
@@ -42,12 +42,12 @@
 _MACHINES = 5
 _MOST_REQUEST_TOKENS = 60
 
-#: Machines whose time of day may jump in one history; two others and the own one must agree.
+#: Number of machines whose time of day may jump; a process and two others must agree on the time.
 _JUMPING = 1
 
 
 class InjectedFault(Enum):
-    """Faults planted on purpose, which the histories must find."""
+    """Faults injected into the code under test, which the histories must find."""
 
     NONE = "none"
     LAST_READ_CLAIM = "a doubtful append does not bind"
@@ -60,12 +60,12 @@
 
 
 class OverspentError(AssertionError):
-    """More was consumed than paid."""
+    """An invariant failed, so more may be consumed than was paid."""
 
 
 @dataclass(slots=True)
 class _Machine:
-    """One machine; its clocks go on over the starts of its process."""
+    """A machine; its clocks continue when its process restarts."""
 
     name: str
     boot_offset_s: float
@@ -73,22 +73,22 @@
 
 
 class _MachineClock(Clock):
-    """A machine's clocks in the history's time."""
+    """Clocks of a machine, derived from the history's time."""
 
     def __init__(self, history: ClaimHistory, machine: _Machine) -> None:
         self._history = history
         self._machine = machine
 
     def now(self) -> datetime:
-        """Return the time of day, with the machine's jump."""
+        """Return the time of day, including the machine's clock jump."""
         return _START + timedelta(seconds=self._history.now_s + self._machine.wall_jump_s)
 
     def monotonic_s(self) -> float:
-        """Return the history's time."""
+        """Return the history's time plus the machine's offset."""
         return self._history.now_s + self._machine.boot_offset_s
 
     async def sleep(self, delay_s: float) -> None:
-        """Return at once: a history moves time on by its own steps."""
+        """Return at once: the history's steps advance the time."""
 
 
 def _require(holds: bool, otherwise: str) -> None:
@@ -97,7 +97,7 @@
 
 
 class _DoubtlessBook(LocalClaims):
-    """The planted fault that forgets appends without an answer."""
+    """Injected fault: forgets appends whose outcome is unconfirmed."""
 
     def _update_limits(self) -> None:
         self.unconfirmed_appends.clear()
@@ -105,16 +105,16 @@
 
 
 class _CredulousLog(RenewalLog):
-    """The planted fault that takes every death for a proven one."""
+    """Injected fault: treats each process as in touch until its death."""
 
     def max_gap_s(self, *_: object) -> float:
-        """Return that it was in touch to the end."""
+        """Return no gap between renewals."""
         return 0.0
 
 
 @dataclass(slots=True)
 class _Process:
-    """One start of an instance."""
+    """A process of an instance, from its start to its end."""
 
     machine: _Machine
     clock: Clock
@@ -126,7 +126,7 @@
 
 @dataclass(slots=True)
 class _LostLoan:
-    """A loan whose answer the borrower has not got yet."""
+    """A loan whose answer the borrower has not received yet."""
 
     lender: _Process
     borrower: _Process
@@ -136,13 +136,13 @@
 
 
 class ClaimHistory:
-    """One random history.
+    """A random history of claims.
 
     Parameters
     ----------
-    hands_over
-        Whether processes also leave tokens to each other; off, for the histories of seeds from
-        before there were handovers.
+    has_handovers
+        Whether processes also hand tokens over to each other. Without it, older seeds give the
+        same histories as before handovers existed.
     """
 
     def __init__(
@@ -169,12 +169,12 @@
         self._processes = [self._start(machine) for machine in machines]
 
     async def run(self, steps: int) -> None:
-        """Take random steps and check after each.
+        """Run random steps and check the invariants after each.
 
         Raises
         ------
         OverspentError
-            If more was consumed than paid.
+            If an invariant fails.
         """
         actions = [
             (30, self._request),
@@ -201,11 +201,11 @@
             self._check()
 
     def consumed_tokens(self, budget: BudgetName) -> int:
-        """Return what all processes ever consumed, running requests at their most."""
+        """Return what all processes consumed, with the upper bounds of running requests."""
         return sum(h.spent_tokens + h.reserved_tokens for _, h in self._all_held(budget))
 
     def _all_held(self, budget: BudgetName) -> list[tuple[Holder, HeldBudget]]:
-        """Return what each process, living or dead, holds of a budget."""
+        """Return what each process, alive or dead, holds of a budget."""
         ended = [(holder, held) for (b, holder), held in self._ended.items() if b == budget]
         living = [
             (p.keeper.claims.holder, p.keeper.claims.held_budget(budget)) for p in self._processes
@@ -230,7 +230,7 @@
             _require(consumed <= paid, f"{budget}: {consumed} consumed of {paid} paid")
 
     def _read_claims(self) -> None:
-        """Take the claims that were appended since the last check."""
+        """Read the claims that were appended since the last check."""
         page = self._store.read(claims_stream(Shard(0)), self._read_offset)
         self._read_offset = page.next_offset
         living = {process.keeper.claims.holder for process in self._processes}
@@ -345,7 +345,7 @@
             self.counts["repeated"] += 1
 
     async def _hand_over(self) -> None:
-        """Let one leave its tokens to another, once; the call may be lost with them."""
+        """Hand tokens over from one process to another; a lost call loses them."""
         giver, taker = self._rng.sample(self._processes, 2)
         budget = self._rng.choice(_BUDGETS)
         self._update_opening(giver)
@@ -354,7 +354,7 @@
         if tokens and self._rng.random() > 0.3:
             held = taker.keeper.claims.held_budget(budget)
             taker.loans.take_over(held, handover_id, tokens)
-            # A connection may carry the same call twice; the id tells.
+            # A connection may deliver the same call twice; the id identifies the repeat.
             taker.loans.take_over(held, handover_id, tokens)
             self.counts["handed over"] += 1
             if self._plant is InjectedFault.HANDOVER_AGAIN:
@@ -362,7 +362,7 @@
                 later.loans.take_over(later.keeper.claims.held_budget(budget), handover_id, tokens)
 
     def _replaced(self, process: _Process) -> _Process:
-        """Kill a process and return its machine's next start."""
+        """Kill a process, start another one on its machine and return it."""
         self._bury(process)
         later = self._start(process.machine)
         self._processes[self._processes.index(process)] = later
--- a/mothstand/testing/crash_faults.py
+++ b/mothstand/testing/crash_faults.py
@@ -1,4 +1,4 @@
-"""Faults of the quarantine planted on purpose, which the histories must find."""
+"""Faults injected into the quarantine, which the crash histories must find."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class InjectedFault(Enum):
-    """What is wrong with an instance."""
+    """Faults of the quarantine."""
 
     NONE = "none"
     HOLDS_NOTHING = "no request is quarantined"
@@ -27,14 +27,14 @@
 
 
 class _LonelyFeed(QuarantineFeed):
-    """Takes nothing from others."""
+    """Applies no records from other instances."""
 
     def _apply_record(self, record: KeyedRecord, *, source: str) -> bool:
         return False
 
 
 class _ForgetfulOutbox(QuarantineOutbox):
-    """Forgets what an append that failed should have told."""
+    """Forgets the records of a failed append."""
 
     async def _relay(self) -> None:
         self._unrelayed.clear()
@@ -42,20 +42,20 @@
 
 
 class _ForgetfulFeed(QuarantineFeed):
-    """Tells the store once, and no peer."""
+    """Reports to the store once, and to no peer."""
 
     outbox_type = _ForgetfulOutbox
 
 
 class _StubbornFeed(QuarantineFeed):
-    """Clears nothing."""
+    """Never clears a request."""
 
     def clear(self, digest: RequestDigest) -> None:
-        """Keep all that is known."""
+        """Do nothing."""
 
 
 class _IdleQuarantine(Quarantine):
-    """Holds nothing."""
+    """Quarantines no request."""
 
     def is_quarantined(self, digest: RequestDigest, now_s: float) -> bool:
         """Return False."""
@@ -63,7 +63,7 @@
 
 
 class _IdleFeed(QuarantineFeed):
-    """Lets all requests through."""
+    """Admits all requests."""
 
     def __init__(self, *arguments: Any) -> None:
         super().__init__(*arguments)
@@ -71,10 +71,10 @@
 
 
 class _NoCheck(LivenessCheck):
-    """Takes every upstream for ended."""
+    """Considers every upstream crashed."""
 
     async def check(self, address: str) -> Liveness:
-        """Return that nothing listens."""
+        """Return that no process listens."""
         return Liveness.NOT_LISTENING
 
 
@@ -87,10 +87,10 @@
 
 
 def plant_feed(plant: InjectedFault) -> type[QuarantineFeed]:
-    """Return the kind of feed, with a fault if the plant is one of it."""
+    """Return the type of feed, a faulty one if the fault concerns the feed."""
     return _FEEDS.get(plant, QuarantineFeed)
 
 
 def planted_check(plant: InjectedFault, right: LivenessCheck) -> LivenessCheck:
-    """Return a check, with a fault if the plant is one of it."""
+    """Return the liveness check, a faulty one if the fault concerns the check."""
     return _NoCheck() if plant is InjectedFault.TAKES_BREAKS_FOR_ENDS else right
--- a/mothstand/testing/crash_fleet.py
+++ b/mothstand/testing/crash_fleet.py
@@ -1,4 +1,4 @@
-"""Gateway instances as real processes before engines that one request ends, again and again."""
+"""A fleet of real gateway processes whose engines are crashed repeatedly by one request."""
 
 from __future__ import annotations
 
@@ -20,16 +20,17 @@
 
     from .gateway_fleet import GatewayFleet
 
-#: Body of the request that ends engines, and of those that do not.
+#: Bodies of the request that crashes engines, and of all others.
 CRASH_BODY = "crash"
 _INNOCENT_BODY = "innocent"
 
-#: Arrivals that the operators allow after a request has ended so many engines, and the window.
+#: The operators' bound: arrivals allowed later than `STABLE_WINDOW_S` after a request has crashed
+#: `CRASH_THRESHOLD` engines.
 ALLOWED_ARRIVALS = 3
 ENDS = 3
 STABLE_WINDOW_S = 3.0
 
-#: An engine is back so long after its end, under another id.
+#: Seconds from the end of an engine to its restart under another id.
 _BACK_AFTER_S = 2.0
 _LOOK_S = 0.05
 
@@ -39,14 +40,15 @@
 
 @dataclass(slots=True)
 class CrashFleet:
-    """A fleet, its engines, and the callers before it.
+    """A fleet, its engines and its callers.
 
     Parameters
     ----------
     answers
-        How often callers of innocent requests got each status; 0 for none or a broken answer.
+        Number of answers with each status to requests that crash no engine; status 0 stands for
+        no answer or a broken one.
     crash_answers
-        The same of the request that ends engines.
+        The same for the request that crashes engines.
     """
 
     fleet: GatewayFleet
@@ -59,7 +61,7 @@
     _sent: int = 0
 
     def run(self, *, duration_s: float, crash_gap_s: float, kill_at_s: float) -> None:
-        """Play callers, and kill and restart two instances meanwhile."""
+        """Simulate callers; meanwhile kill and restart two instances."""
         self.fleet.publish(prepaid_tokens=100_000_000)
         for number in range(self.engines):
             name = f"e{number}"
@@ -108,7 +110,7 @@
         answers: Counter[int],
     ) -> None:
         url = self.fleet.processes[instance].url + PREFIX
-        # Innocent requests are all different ones.
+        # Requests that crash no engine all have different bodies.
         content = body if body == CRASH_BODY else request_id
         try:
             response = await http.post(url, headers=request_headers(request_id), content=content)
@@ -118,7 +120,7 @@
         answers[response.status_code] += 1
 
     async def _keep_engines(self, tasks: TaskGroup) -> None:
-        """Start each engine that has ended again, with another id at its address."""
+        """Restart each engine that has ended, with another id at the same address."""
         while True:
             for address, name in list(self._names.items()):
                 if self.fleet.processes[name].process.poll() is not None:
@@ -137,12 +139,12 @@
         self._names[address] = name
 
     def arrivals(self) -> list[Arrival]:
-        """Return what reached engines, in order."""
+        """Return the requests that reached engines, in order."""
         lines = self.fleet.arrivals_path.read_text(encoding="utf-8").splitlines()
         return sorted((Arrival(**json.loads(line)) for line in lines), key=lambda a: a.at_s)
 
     def late_arrivals(self) -> list[Arrival]:
-        """Return arrivals of the crashing request that count against the operators' bound."""
+        """Return the arrivals of the crashing request that the operators' bound counts."""
         own = [a for a in self.arrivals() if a.body == CRASH_BODY]
         crashes = [a for a in own if a.is_crash]
         if len(crashes) < ENDS:
--- a/mothstand/testing/crash_histories.py
+++ b/mothstand/testing/crash_histories.py
@@ -1,9 +1,9 @@
-"""Random histories of a fleet before engines that end: of one request, and of other causes.
+"""Random histories of a fleet whose engines crash, because of one request or for other causes.
 
-The real forwarding, placement, end watch and quarantine run in virtual time against a store in
-memory and simulated engines. One request ends each engine that begins to run it, and comes again at
-any instance; beside it come distinct requests, and a popular one that is always the same. Arrivals
-are counted as the operators count them.
+The real forwarding, placement, crash detector and quarantine run in virtual time against a store in
+memory and simulated engines. One request crashes each engine that starts to run it and is repeated
+at any instance. Other requests are distinct, or repeat one popular body. Arrivals are counted as
+the operators count them.
 """
 
 from __future__ import annotations
@@ -59,7 +59,7 @@
 _SERVICE = "llm"
 _HERE = DataCentre("sto-a")
 
-#: Bodies of the requests that come again and again.
+#: Bodies of the two requests that are repeated.
 CRASHING = b"crashing"
 POPULAR = b"popular"
 
@@ -69,17 +69,17 @@
 _RUN_TO_CRASH_S = 0.05
 _LAPSE_S = 3.6
 
-#: A read of the store that hangs is given up after this.
+#: Seconds after which a hanging read of the store fails.
 _GIVES_UP_S = 0.3
 
 _REQUESTS_PER_S = 20.0
 
-#: By how much the time of day of machines is ahead of others.
+#: Seconds by which a machine's time of day may be ahead.
 _SKEWS_S = (0.0, 0.0, 0.1, -0.3, -3600.0, 86_400.0)
 
 
 class CrashDisruption(Flag):
-    """What may happen in a history, beside the request that ends engines."""
+    """Disruptions of a history, besides the request that crashes engines."""
 
     NONE = 0
     KILLS = auto()
@@ -104,16 +104,16 @@
 
 @dataclass(slots=True)
 class CrashResult:
-    """What callers and engines saw.
+    """Results of a history.
 
     Parameters
     ----------
     late_arrivals
-        Of the crashing request, that the operators count.
-    ends
-        Engines that it ended.
+        Arrivals of the crashing request that the operators' bound counts.
+    crashes
+        Number of engines that the request crashed.
     outcomes
-        How often requests of each kind ended in which way.
+        Number of requests of each kind with each outcome.
     """
 
     late_arrivals: int = 0
@@ -123,7 +123,7 @@
 
 @dataclass(slots=True)
 class _Engine:
-    """One start of an engine."""
+    """An engine process, from its start to its end."""
 
     upstream_id: str
     address: str
@@ -131,12 +131,12 @@
 
     @property
     def is_up(self) -> bool:
-        """Whether it runs."""
+        """Whether the engine runs."""
         return not self.ended.is_set()
 
 
 class _Answer(UpstreamAnswer):
-    """A whole answer."""
+    """A complete answer."""
 
     def __init__(self) -> None:
         self.status = 200
@@ -145,7 +145,7 @@
         self.fields = UpstreamFields("r", False, False, False)
 
     async def read_piece(self) -> bytes:
-        """Return the end."""
+        """Return the end of the body."""
         return b""
 
     def close(self) -> None:
@@ -153,7 +153,7 @@
 
 
 class _Client(UpstreamClient):
-    """An instance's way to the engines."""
+    """Client of an instance for the simulated engines."""
 
     def __init__(self, history: CrashHistory, instance: _Instance) -> None:
         self._history = history
@@ -174,14 +174,14 @@
 
 
 class _Check(LivenessCheck):
-    """Tells whether an engine runs at an address."""
+    """Checks whether an engine runs at an address."""
 
     def __init__(self, history: CrashHistory, name: str) -> None:
         self._history = history
         self._name = name
 
     async def check(self, address: str) -> Liveness:
-        """Return whether the engine there runs."""
+        """Return whether the engine at the address runs."""
         await self._history.hanging.thawed(self._name)
         await anyio.sleep(0.001)
         engine = self._history.engines[address]
@@ -189,36 +189,36 @@
 
 
 class _Caller(CallerConnection):
-    """A caller who stays."""
+    """A caller that stays connected and ignores the answer."""
 
     async def start(self, status: int, reason: str, headers: RawHeaders) -> None:
-        """Take the head."""
+        """Ignore the head."""
 
     async def write(self, data: bytes) -> None:
-        """Take a piece."""
+        """Ignore a piece of the body."""
 
     async def finish(self) -> None:
-        """Take the end."""
+        """Ignore the end of the answer."""
 
     def abort(self) -> None:
-        """Take a break."""
+        """Ignore that the answer breaks off."""
 
     async def send_complete(
         self, status: int, reason: str, headers: RawHeaders, body: bytes
     ) -> None:
-        """Take an answer."""
+        """Note that the answer was started."""
         self.is_started = True
 
 
 class _Peers(SilentPeers):
-    """Calls between the instances, by their names as addresses."""
+    """Calls between the instances, whose addresses are their names."""
 
     def __init__(self, history: CrashHistory, name: str) -> None:
         self._history = history
         self._name = name
 
     async def send_quarantine_records(self, address: str, records: tuple[KeyedRecord, ...]) -> None:
-        """Tell an instance that lives."""
+        """Deliver records to a live instance."""
         await self._history.hanging.thawed(self._name)
         peer = self._history.alive.get(address)
         if peer is None:
@@ -228,7 +228,7 @@
 
 
 class _Instance:
-    """One process of the fleet."""
+    """A process of an instance of the fleet."""
 
     def __init__(self, history: CrashHistory, name: str, link: StoreLink) -> None:
         self.name = name
@@ -271,7 +271,7 @@
         self.watch.note_deregistered(upstream)
 
     async def run(self) -> None:
-        """Live until killed."""
+        """Run until killed."""
         with self.scope:
             async with anyio.create_task_group() as tasks:
                 for work in (self.watch.run, self.feed.run, self.upstreams.run):
@@ -280,22 +280,23 @@
 
 @dataclass(slots=True)
 class CrashHistory:
-    """One history; `run` plays it.
+    """A random history of crashes, which `run` simulates.
 
     Parameters
     ----------
     has_crashing
-        Whether the request comes that ends engines.
+        Whether the crashing request is sent.
     popular_share
-        Part of the other requests that are one and the same.
+        Share of the other requests that have the popular body.
     reset_share
-        Part of the other requests that break though their engine lives, where resets happen.
+        Share of the other requests whose connection breaks although their engine runs; only with
+        `CrashDisruption.RESETS`.
     failing_appends
-        Part of the appends that fail, where the store goes away.
+        Share of the appends that fail; only with `CrashDisruption.STORE_AWAY`.
     repeats
-        How often callers send a request again that failed, to any instance.
+        How often callers repeat a failed request, each time at a random instance.
     order
-        Seeds the order of tasks that wake together.
+        Seed of the order of tasks that wake at the same time.
     """
 
     seed: int
@@ -323,7 +324,7 @@
     _requests: int = 0
 
     def run(self) -> CrashResult:
-        """Play the history in virtual time."""
+        """Simulate the history in virtual time."""
         self._result.outcomes = {k: Counter() for k in ("crashing", "popular", "distinct")}
         run_in_virtual_time(self._play, order=self.order)
         return self._result
@@ -332,16 +333,16 @@
         return random.Random(f"{self.seed} {what}")
 
     def skew_s(self, name: str) -> float:
-        """Return by how much the time of day of an instance's machine is ahead."""
+        """Return the seconds by which the time of day of an instance's machine is ahead."""
         return self._chance("skew", name).choice(_SKEWS_S)
 
     async def run_on(self, engine: _Engine, request: OutgoingRequest, instance: _Instance) -> None:
-        """Run a request on an engine; it breaks with the engine.
+        """Run a request on an engine.
 
         Raises
         ------
         ConnectionBrokenError
-            If it has no whole answer.
+            If the engine crashes or the connection is reset before the answer is complete.
         """
         rng = self._chance("run", request.request_id, engine.upstream_id)
         if request.body == CRASHING:
@@ -431,7 +432,7 @@
             self._tasks.start_soon(self._request, kind, body, instance, f"r{self._requests}")
 
     async def _request(self, kind: str, body: bytes, instance: _Instance, request_id: str) -> None:
-        """Send a request, and again to other instances while it fails."""
+        """Send a request, and repeat it at random instances while it fails."""
         rng = self._chance("repeats", request_id)
         outcome = "killed"
         for number in range(1 + self.repeats):
@@ -455,7 +456,7 @@
         return "answered"
 
     async def _series(self, trouble: CrashDisruption) -> None:
-        """Let one kind of trouble happen again and again."""
+        """Repeat one kind of disruption until the end of the history."""
         rng = self._chance(trouble)
         while True:
             await anyio.sleep(rng.choice([0.7, 2.0, 4.0, 9.0]))
@@ -493,7 +494,7 @@
             self._tasks.start_soon(self._start_instance, name, rng.choice([0.3, 1.0, 3.0]))
 
     async def _cut(self, names: set[str], for_s: float) -> None:
-        """Cut instances off the store; all of them as if the store itself were away."""
+        """Cut instances off from the store; to cut off all of them simulates an outage."""
         names = set(self.alive) if len(names) == len(self.alive) else names
         self._cut_names = names
         self._set_links()
@@ -519,7 +520,7 @@
 
 
 def _call(body: bytes, request_id: str) -> Call:
-    """Return a request that may run twice, on a route with two attempts."""
+    """Return an idempotent request on a route with two attempts."""
     route = Route(
         "r",
         "h",
--- a/mothstand/testing/examples.py
+++ b/mothstand/testing/examples.py
@@ -1,4 +1,7 @@
-"""A small configuration for tests: two workspaces, engines and services in one or two places."""
+"""A small example configuration and requests for it.
+
+There are two workspaces, and engines and services in one or two data centres.
+"""
 
 from __future__ import annotations
 
@@ -30,13 +33,13 @@
     Parameters
     ----------
     paid_tokens
-        Paid total of each workspace's budget, which has the workspace's name.
+        Paid total of each budget; a workspace's budget has the workspace's name.
     policy
         Lines of the ``[policy]`` section.
     resumes
-        Whether engines go on with answers that others began.
+        Whether engines can resume answers that another engine started.
     slots
-        Of each upstream.
+        Number of slots of each upstream.
     """
     folder.mkdir(exist_ok=True)
     paid = {"lund": 1_000_000, "kushiro": 1_000_000} | (paid_tokens or {})
@@ -78,7 +81,7 @@
     timeout_s: float = 30.0,
     **extra: Any,
 ) -> httpx.Response:
-    """Send one chat completion and return its whole response."""
+    """Send a chat completion request and return the complete response."""
     headers = {"authorization": f"Bearer {key}"}
     if idempotency_key:
         headers["idempotency-key"] = idempotency_key
@@ -102,7 +105,7 @@
     idempotency_key: str = "",
     timeout_s: float = 30.0,
 ) -> httpx.Response:
-    """Send one call to a plain service."""
+    """Send a request to a plain service."""
     headers = {"authorization": f"Bearer {key}"}
     if idempotency_key:
         headers["idempotency-key"] = idempotency_key
--- a/mothstand/testing/fakes.py
+++ b/mothstand/testing/fakes.py
@@ -1,4 +1,4 @@
-"""Small fakes at the interfaces: clock, peers, log, writer."""
+"""Fakes of the clock, peers, membership, log and log writer."""
 
 from __future__ import annotations
 
@@ -28,20 +28,20 @@
 
 _START = datetime(2026, 1, 1, tzinfo=UTC)
 
-#: The retry budget of the users' first deployments.
+#: Retry budget of the users' first deployments.
 RETRIES = RetryBudgetSettings(ratio=0.2, burst=52.0, window_s=10.0, delivery_s=1.0)
 
 
 class NoWitness(StoreWitness):
-    """Nobody who could tell whether the store was up."""
+    """A store witness that can never confirm that the store was up."""
 
     async def read_without_gap(self, gap_s: float) -> bool:
-        """Return False: it may have been away."""
+        """Return False: the store may have been unreachable."""
         return False
 
 
 class SilentPeers(PeerLink):
-    """Peers that answer no call; a test's own class answers those that it is about."""
+    """Peers that fail every call; tests override the calls that they need."""
 
     async def borrow(self, address: str, request: LoanRequest) -> LoanReply:
         """Fail."""
@@ -68,14 +68,14 @@
 
 
 class FakeClock(Clock):
-    """Time that moves only when a test says so."""
+    """A clock that only `advance` moves."""
 
     def __init__(self) -> None:
         self._now_s = 1000.0
         self._sleepers: list[tuple[float, anyio.Event]] = []
 
     def now(self) -> datetime:
-        """Return a wall time that moves with the rest."""
+        """Return a time of day that moves with the monotonic time."""
         return _START + timedelta(seconds=self._now_s)
 
     def monotonic_s(self) -> float:
@@ -83,13 +83,13 @@
         return self._now_s
 
     async def sleep(self, delay_s: float) -> None:
-        """Wait until a test has moved time on by `delay_s`."""
+        """Wait until a test has advanced the time by `delay_s`."""
         woken = anyio.Event()
         self._sleepers.append((self._now_s + delay_s, woken))
         await woken.wait()
 
     def advance(self, delay_s: float) -> None:
-        """Move time on and wake who slept until now."""
+        """Advance the time and wake the sleepers that are due."""
         self._now_s += delay_s
         due = [sleeper for sleeper in self._sleepers if sleeper[0] <= self._now_s]
         self._sleepers = [sleeper for sleeper in self._sleepers if sleeper[0] > self._now_s]
@@ -98,7 +98,7 @@
 
 
 class FakeWriter(Generic[_R]):
-    """Queues records like `LogWriter`; a test appends them by hand."""
+    """Queues records like `LogWriter`; a test appends them itself."""
 
     def __init__(self, author: str) -> None:
         self.queue: list[_R] = []
@@ -114,7 +114,7 @@
 
 
 class FakeMembership(Membership):
-    """Membership whose beliefs a test sets; it may be wrong in every way."""
+    """Membership whose view a test sets, rightly or wrongly."""
 
     def __init__(self, me: Member, data_centre: DataCentre) -> None:
         super().__init__(me, data_centre, suspect_after_s=1.0)
@@ -122,15 +122,15 @@
         self.believed_elsewhere: dict[str, Member] = {}
 
     def is_alive(self, member: Member, now_s: float) -> bool:
-        """Return what the test says."""
+        """Return what the test has set."""
         return member == self.local_member or self.believed_alive.get(member.name) == member
 
     def is_alive_and_not_stopping(self, member: Member, now_s: float) -> bool:
-        """Return what the test says."""
+        """Return what the test has set."""
         return self.is_alive(member, now_s)
 
     def find(self, incarnation: str, now_s: float) -> Member | None:
-        """Return the member that the test says is alive."""
+        """Return the member with an incarnation, if the test has set it alive."""
         known = [
             self.local_member,
             *self.believed_alive.values(),
@@ -139,12 +139,12 @@
         return next((m for m in known if m.incarnation == incarnation), None)
 
     def local_alive(self, now_s: float) -> dict[str, Member]:
-        """Return whom the test says are alive, and this one."""
+        """Return the peers that the test has set alive, and the local member."""
         return {**self.believed_alive, self.local_member.name: self.local_member}
 
 
 class NoPeers(PeerCalls):
-    """Peers that never answer."""
+    """Peers that fail every call of the ledger."""
 
     async def mirror(
         self, witness: Member, shard: Shard, batch: MirrorBatch, *, timeout_s: float
@@ -168,12 +168,12 @@
 
 
 class FakeLog(LogClient):
-    """A log in memory, which can be down or lose the answers of appends that took effect.
+    """A log in memory that can be down, or lose the answers of appends that took effect.
 
     Parameters
     ----------
     clock
-        Given, a read with nothing to return waits, as the platform's does; else it never waits.
+        If given, a read without records waits, as on the platform; otherwise reads never wait.
     """
 
     def __init__(self, clock: Clock | None = None) -> None:
@@ -183,7 +183,7 @@
         self.lose_answers = 0
 
     async def append(self, stream: str, payload: bytes) -> int:
-        """Append, unless down; `lose_answers` times the answer is lost after the effect."""
+        """Append unless down; the next `answers_to_lose` appends succeed without an answer."""
         if self.down:
             raise LogError("down")
         stored = self.records.setdefault(stream, [])
@@ -194,7 +194,7 @@
         return len(stored)
 
     async def read(self, stream: str, from_offset: int, *, wait_s: float) -> LogPage:
-        """Return what there is, after a wait if it is nothing and there is a clock."""
+        """Return records from an offset; with a clock, wait if there are none."""
         if self.down:
             raise LogError("down")
         if self._clock is not None and len(self.records.get(stream, [])) < from_offset and wait_s:
--- a/mothstand/testing/fleet.py
+++ b/mothstand/testing/fleet.py
@@ -1,6 +1,6 @@
-"""A fleet of real processes on loopback, for tests, benchmarks and examples.
+"""Starts a fleet of real processes on loopback, for tests, benchmarks and examples.
 
-The fleet's own processes start none; this module is the script that starts them.
+The fleet's own processes never start others.
 """
 
 from __future__ import annotations
@@ -25,17 +25,17 @@
 _POLL_S = 0.05
 
 
-#: Below the range from which systems take ports for outgoing connections: one of those could
-#: take a port between its choice here and its process's start.
+#: Ports below the range of outgoing connections, one of which could otherwise take a port before
+#: the process that it was chosen for starts.
 _PORTS = range(10_000, 30_000)
 
-#: Chance of its own: that of the code under test is seeded, and each test, also of another run
-#: beside this one, would get the same ports ("address already in use").
+#: Separate from the `random` module, which tests seed: each test, also in a parallel run, would get
+#: the same ports and fail with "address already in use".
 _port_chance = random.SystemRandom()
 
 
 def free_port() -> int:
-    """Return a TCP port of the loopback address that nothing listens on."""
+    """Return an unused TCP port of the loopback address."""
     while True:
         port = _port_chance.choice(_PORTS)
         with socket.socket() as probe:
@@ -48,12 +48,12 @@
 
 @dataclass(slots=True)
 class FleetProcess:
-    """One started process.
+    """A process of the fleet or a stand-in.
 
     Parameters
     ----------
     address
-        ``IP:PORT`` that it serves HTTP on.
+        ``IP:PORT`` of its HTTP server.
     peers_address
         ``IP:PORT`` of the peer protocol; empty for stand-ins.
     """
@@ -66,40 +66,40 @@
 
     @property
     def url(self) -> str:
-        """The URL that it serves."""
+        """Base URL of the process."""
         return f"http://{self.address}"
 
     def kill(self) -> None:
-        """Kill at once, as a crash."""
+        """Kill the process without a graceful stop."""
         self.process.kill()
         self.process.wait()
 
     def pause(self) -> None:
-        """Stop the process between two lines, as a long pause does."""
+        """Suspend the process at any point of its execution."""
         self.process.send_signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Let a paused process go on."""
+        """Resume a suspended process."""
         self.process.send_signal(signal.SIGCONT)
 
     def terminate(self, timeout_s: float = 30.0) -> int:
-        """Ask for a graceful stop and return the exit code."""
+        """Request a graceful stop and return the exit code."""
         self.process.send_signal(signal.SIGTERM)
         return self.process.wait(timeout_s)
 
 
 @dataclass(slots=True)
 class Fleet:
-    """Processes under one folder of settings and logs.
+    """Processes that share one folder of settings and logs.
 
     Parameters
     ----------
     folder
-        Where settings and logs are written.
+        Folder of settings and logs.
     shards
-        The fleet's number of ledger shards.
+        Number of ledger shards.
     timing
-        Extra lines for the instances' ``[timing]`` section.
+        Lines of the instances' ``[timing]`` section.
     """
 
     folder: Path
@@ -114,7 +114,7 @@
         return self
 
     def __exit__(self, *_: object) -> None:
-        """Kill what still runs."""
+        """Kill the processes that still run."""
         for process in self.processes.values():
             if process.process.poll() is None:
                 process.process.send_signal(signal.SIGCONT)
@@ -145,7 +145,7 @@
     def start_instance(
         self, name: str, data_centre: str, *, listed: bool = True, seeds: str = ""
     ) -> FleetProcess:
-        """Start an entry instance, under a new incarnation, and put it into the list."""
+        """Start an entry instance under a new incarnation, and publish the list of instances."""
         address, peers_address = (f"127.0.0.1:{free_port()}" for _ in range(2))
         path = self.folder / f"{name}.ini"
         path.write_text(
@@ -168,7 +168,7 @@
         return process
 
     def publish_list(self) -> None:
-        """Play the platform: list the instances that were started and not yet found dead."""
+        """Publish the instances that run, as the platform does."""
         listed = [
             {"name": p.name, "address": p.peers_address, "data_centre": p.data_centre}
             for p in self.processes.values()
@@ -177,17 +177,17 @@
         httpx.post(f"{self.platform.url}/instances", json=listed, trust_env=False)
 
     def set_faults(self, name: str, **faults: Any) -> None:
-        """Make a stand-in fail."""
+        """Set the faults of a stand-in."""
         httpx.post(f"{self.processes[name].url}/faults", json=faults, trust_env=False)
 
     def journal(self, name: str) -> list[dict[str, Any]]:
-        """Return what a stand-in saw."""
+        """Return the journal of a stand-in."""
         answer = httpx.get(f"{self.processes[name].url}/journal", trust_env=False)
         journal: list[dict[str, Any]] = answer.json()
         return journal
 
     def appends(self) -> dict[str, int]:
-        """Return the appends for each stream."""
+        """Return the number of appends to each stream."""
         counts: dict[str, int] = httpx.get(f"{self.platform.url}/counts", trust_env=False).json()
         return counts
 
@@ -203,7 +203,7 @@
         return path
 
     def run_command(self, *arguments: str) -> subprocess.CompletedProcess[str]:
-        """Run a ``mothstand`` command to its end."""
+        """Run a ``mothstand`` command and wait for its end."""
         return subprocess.run(
             [*self.command, *arguments], capture_output=True, text=True, check=False
         )
@@ -240,7 +240,7 @@
         return process
 
     def popen(self, name: str, arguments: tuple[str, ...]) -> subprocess.Popen[bytes]:
-        """Start a process with its output in the folder."""
+        """Start a process that logs to a file in the folder."""
         self._number += 1
         log = (self.folder / f"{self._number:02}-{name}.log").open("wb")
         with log:
@@ -248,7 +248,7 @@
 
 
 def wait_until(ready: Any, message: str | Callable[[], str], timeout_s: float = _START_S) -> None:
-    """Poll until `ready` returns true.
+    """Poll until `condition` returns true.
 
     Raises
     ------
--- a/mothstand/testing/frozen_processes.py
+++ b/mothstand/testing/frozen_processes.py
@@ -1,4 +1,4 @@
-"""Processes of a simulated fleet that hang now and then."""
+"""Clocks and store clients of simulated processes that freeze temporarily."""
 
 from __future__ import annotations
 
@@ -16,33 +16,33 @@
 
     from ..gateway.store import KeyedRecord, Stream, StreamPage
 
-#: Seconds that a call of the store takes.
+#: Seconds that a call to the store takes.
 _STORE_CALL_S = 0.006
 
 
 @dataclass(slots=True)
 class HangingProcesses:
-    """Until when each process hangs, in virtual time."""
+    """The virtual times until which processes are frozen."""
 
     _until_s: dict[str, float] = field(default_factory=dict)
 
     def freeze(self, names: Iterable[str], until_s: float) -> None:
-        """Let processes hang until a time."""
+        """Freeze processes until a time."""
         self._until_s |= dict.fromkeys(names, until_s)
 
     async def thawed(self, name: str) -> None:
-        """Wait until a process no longer hangs."""
+        """Wait until a process is no longer frozen."""
         while (wait_s := self._until_s.get(name, 0.0) - anyio.current_time()) > 0:
             await anyio.sleep(wait_s)
 
 
 class HangingClock(VirtualClock):
-    """Virtual time of a process that hangs now and then.
+    """Virtual clock of a process that can freeze.
 
     Parameters
     ----------
     skew_s
-        By how much its time of day is ahead of others.
+        Seconds by which its time of day is ahead.
     """
 
     def __init__(self, processes: HangingProcesses, name: str, *, skew_s: float = 0.0) -> None:
@@ -51,17 +51,17 @@
         self._skew = timedelta(seconds=skew_s)
 
     def now(self) -> datetime:
-        """Return the time of day as the process's machine has it."""
+        """Return the time of day of the process's machine."""
         return super().now() + self._skew
 
     async def sleep(self, delay_s: float) -> None:
-        """Sleep on the loop, and on while the process hangs."""
+        """Sleep, and wait until the process is not frozen."""
         await super().sleep(delay_s)
         await self._processes.thawed(self._name)
 
 
 class HangingLink(StoreLink):
-    """A way to the store that takes time, and hangs along with its process."""
+    """A store client whose calls take time, and freeze with their process."""
 
     def __init__(
         self,
@@ -78,7 +78,7 @@
     async def append(
         self, stream: Stream, records: tuple[KeyedRecord, ...], *, at_offset: int | None = None
     ) -> None:
-        """Append after half of the call's time, and answer after the other."""
+        """Append after half of the call's time, and answer after the other half."""
         await self._processes.thawed(self._name)
         await anyio.sleep(_STORE_CALL_S / 2)
         await super().append(stream, records, at_offset=at_offset)
@@ -86,7 +86,7 @@
         await self._processes.thawed(self._name)
 
     async def read(self, stream: Stream, from_offset: int, *, wait_s: float = 0.0) -> StreamPage:
-        """Read after the call's time."""
+        """Read at the start of the call's time."""
         await self._processes.thawed(self._name)
         page = await super().read(stream, from_offset, wait_s=wait_s)
         await anyio.sleep(_STORE_CALL_S)
@@ -94,7 +94,7 @@
         return page
 
     async def newest(self, stream: Stream) -> StreamPage:
-        """List after the call's time."""
+        """Return the newest records, read at the start of the call's time."""
         await self._processes.thawed(self._name)
         page = await super().newest(stream)
         await anyio.sleep(_STORE_CALL_S)
--- a/mothstand/testing/gateway_fleet.py
+++ b/mothstand/testing/gateway_fleet.py
@@ -1,4 +1,4 @@
-"""Fleets of gateway instances as real processes, on stand-ins of the users' platform."""
+"""Starts fleets of real gateway processes, with stand-ins for the users' platform."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True)
 class GatewayFleet:
-    """Processes under one folder of settings and logs."""
+    """Processes that share one folder of settings and logs."""
 
     folder: Path
     processes: dict[str, FleetProcess] = field(default_factory=dict)
@@ -32,37 +32,37 @@
     _metrics: dict[str, str] = field(default_factory=dict)
 
     def __enter__(self) -> GatewayFleet:
-        """Return the fleet with its store started."""
+        """Start the store and return the fleet."""
         self._start_standin("store", "users_store")
         return self
 
     def __exit__(self, *_: object) -> None:
-        """Kill what still runs."""
+        """Kill the processes that still run."""
         for process in self.processes.values():
             if process.process.poll() is None:
                 process.kill()
 
     @property
     def store(self) -> FleetProcess:
-        """The store's stand-in."""
+        """The stand-in for the store."""
         return self.processes["store"]
 
     @property
     def arrivals_path(self) -> Path:
-        """File to which engines write each request that reaches them."""
+        """File in which engines record each request that reaches them."""
         return self.folder / "arrivals.jsonl"
 
     def start_engine(
         self, name: str, *, event_s: float = 0.01, crash_body: str = "", address: str = ""
     ) -> FleetProcess:
-        """Start an engine that makes an event each `event_s`, and register it.
+        """Start and register an engine that sends an event every `event_s` seconds.
 
         Parameters
         ----------
         crash_body
-            Body of requests that end it.
+            Body of requests that crash the engine.
         address
-            ``IP:PORT``; a free one if empty.
+            ``IP:PORT``; an unused port if empty.
         """
         options = (
             f"--upstream-id={name}",
@@ -94,7 +94,7 @@
         return process
 
     def restart_instance(self, name: str) -> FleetProcess:
-        """Start an instance that has ended again, with the settings that it had."""
+        """Start an instance that has ended again, with its former settings."""
         ended = self.processes[name]
         command = (sys.executable, "-m", "mothstand.gateway_main", str(self.folder / f"{name}.ini"))
         return self._spawn(name, command, ended.address, ended.peers_address)
@@ -124,18 +124,18 @@
         self.put("keyed.op", "config", config)
 
     def put(self, topic: str, key: str, value: dict[str, Any]) -> None:
-        """Write a record as operators and upstreams do."""
+        """Write a record to the store, as operators and upstreams do."""
         params = {"topic": topic, "key": key}
         content = json.dumps(value).encode()
         httpx.post(f"{self.store.url}/put", params=params, content=content).raise_for_status()
 
     def drop(self, topic: str, key: str) -> None:
-        """Drop a record's key, as the end of a registration does."""
+        """Delete a key from the store, as the end of a registration does."""
         params = {"topic": topic, "key": key}
         httpx.post(f"{self.store.url}/put", params=params).raise_for_status()
 
     def set_store_away(self, away: bool) -> None:
-        """Let the store fail all calls, or come back."""
+        """Make the store fail all calls, or answer again."""
         httpx.post(f"{self.store.url}/away", params={"on": int(away)}).raise_for_status()
 
     def ask(
@@ -147,23 +147,23 @@
         key: str = KEY,
         path: str = PREFIX,
     ) -> httpx.Response:
-        """Send one request."""
+        """Send a request and return its response."""
         headers = request_headers(request_id, tokens, key)
         return httpx.post(instance.url + path, headers=headers, content=b"body", timeout=10)
 
     def leave_after_first_event(self, instance: FleetProcess, request_id: str) -> None:
-        """Send one request, and close the connection once its answer has begun."""
+        """Send a request, and close the connection once its answer has started."""
         headers = request_headers(request_id)
         url = instance.url + PREFIX
         with httpx.stream("POST", url, headers=headers, content=b"body", timeout=10) as answer:
             next(answer.iter_raw())
 
     def log(self, instance: FleetProcess) -> str:
-        """Return what an instance has written."""
+        """Return the log of an instance."""
         return (self.folder / f"{instance.name}.log").read_text(encoding="utf-8")
 
     def metrics(self, instance: FleetProcess) -> str:
-        """Return an instance's metrics."""
+        """Return the metrics page of an instance."""
         return httpx.get(f"http://{self._metrics[instance.name]}/metrics").text
 
     def journal(self, engine: FleetProcess) -> list[dict[str, str]]:
@@ -209,7 +209,7 @@
 
 
 def _status(url: str) -> int:
-    """Return the status of a GET, 0 for no answer."""
+    """Return the status of a GET request, or 0 for no answer."""
     try:
         return httpx.get(url, timeout=1).status_code
     except httpx.HTTPError:
--- a/mothstand/testing/histories.py
+++ b/mothstand/testing/histories.py
@@ -1,16 +1,16 @@
-"""Random histories of one ledger shard, over the real fold, accounts, policy and leadership.
+"""Random histories of one ledger shard, with the real fold, accounts, policy and leadership.
 
-Several processes in two data centres share one log. A history is a sequence of steps, each of one
-process: read some records, append one (perhaps twice, since its answer was lost), believe anything
-of the others, reserve, mirror (perhaps losing the request or the answer, or sending an old batch
-again), settle, restart with an empty memory. A process that takes no step is paused or cut off.
+Several processes in two data centres share one log. Each step of a history is an action of one
+process: it reads records, appends one (twice if the answer is lost), gets an arbitrary membership
+view, reserves, mirrors (the request or the answer may be lost, or an old batch repeated), settles,
+or restarts with an empty memory. A process without steps is in effect paused or cut off.
 
-After each step the history checks: what requests have used, plus the upper bounds of those that
-run, is at most what is paid, and in each epoch at most what the fold takes for consumed there; and
-the fold never grants more than is paid. The check of each epoch finds a fault long before it adds
-up to an overspent budget, since tokens stranded elsewhere would hide it.
+Each step is followed by a check. What requests have used, plus the upper bounds of running
+requests, is at most what is paid, and in each epoch at most what the fold counts as consumed there.
+The fold never grants more than is paid. The check of each epoch finds a fault long before a budget
+is overspent, because stranded tokens would hide it.
 
-`Plant` puts a known fault in, to show that the checks would find it.
+An `InjectedFault` shows that the checks would find a known fault.
 """
 
 from __future__ import annotations
@@ -46,12 +46,12 @@
 
 
 class OverspentError(AssertionError):
-    """More was spent, or granted, than was paid."""
+    """More was spent or granted than was paid."""
 
 
 @dataclass(slots=True)
 class Running:
-    """A request that was dispatched and has not ended."""
+    """A request that was dispatched and has not finished."""
 
     ticket: Ticket
     bound_tokens: int
@@ -59,7 +59,7 @@
 
 @dataclass(slots=True)
 class Process:
-    """One incarnation of one instance."""
+    """A process of an instance, with its own incarnation."""
 
     node: ShardNode
     writer: FakeWriter[LedgerRecord]
@@ -72,7 +72,7 @@
 
 @dataclass(slots=True)
 class Counts:
-    """What a history did, to show that it reached what it should."""
+    """Counts of rare events, which show that the histories reach them."""
 
     dispatched: int = 0
     promoted: int = 0
@@ -83,14 +83,14 @@
 
 
 class History:
-    """One history.
+    """A random history of a ledger shard.
 
     Parameters
     ----------
     rng
-        Decides everything; the same numbers give the same history.
-    plant
-        A known fault to put in.
+        Source of all random choices; the same seed gives the same history.
+    fault
+        Fault to inject.
     """
 
     def __init__(
@@ -112,7 +112,7 @@
         self._requests = 0
 
     def run(self, steps: int) -> None:
-        """Take random steps.
+        """Run random steps, then spend all that can still be reserved.
 
         Raises
         ------
@@ -124,14 +124,14 @@
         self.exhaust()
 
     def step(self) -> None:
-        """Take one random step and check."""
+        """Run one random step and check the invariants."""
         name = self.rng.choice(list(self.processes))
         (action,) = self.rng.choices(self._actions(), weights=_WEIGHTS)
         action(name)
         self.check()
 
     def check(self) -> None:
-        """Check what must always hold."""
+        """Check the invariants."""
         spent = self.used_tokens + sum(r.bound_tokens for r in self.running.values())
         paid = self.truth.paid_tokens.get(BUDGET, 0)
         if spent > paid:
@@ -179,7 +179,7 @@
                 process.node.on_record(process.read_offset, self.log[process.read_offset - 1])
 
     def append(self, name: str) -> None:
-        """Append the oldest queued record; sometimes it stays queued, its answer lost."""
+        """Append the oldest queued record, which stays queued if the answer is lost."""
         queue = self.processes[name].writer.queue
         if not queue:
             return
@@ -192,14 +192,14 @@
             queue.pop(0)
 
     def tick(self, name: str) -> None:
-        """Let a process do what it thinks is due."""
+        """Advance a process's clock and run the work that is due."""
         process = self.processes[name]
         process.clock.advance(self.rng.choice((0.1, 1.0, 10.0)))
         process.node.agent.ask(BUDGET)
         process.node.tick({BUDGET: self.paid_tokens})
 
     def believe(self, name: str) -> None:
-        """Believe anything of the others and of the log."""
+        """Set an arbitrary view of the other members and of the log."""
         process = self.processes[name]
         place = self.places[name]
         others = [
@@ -212,9 +212,9 @@
         process.log_silent_s = self.rng.choice((0.0, 0.0, 2 * UNREACHABLE_AFTER_S))
 
     def reserve(self, name: str) -> None:
-        """Reserve in the led epoch, or as a promoted witness."""
+        """Reserve tokens as the holder of an epoch, or as a promoted witness."""
         process = self.processes[name]
-        # Small ones as well, so that a history spends all that it can reach.
+        # Includes small bounds, so that a history can spend all available tokens.
         bound = self.rng.randint(1, self.rng.choice((4, _MOST_BOUND_TOKENS)))
         process.node.agent.note_bound(BUDGET, bound)
         self._requests += 1
@@ -257,7 +257,7 @@
                 self._dispatch(state, taken)
 
     def mirror_again(self, name: str) -> None:
-        """Deliver a batch that was sent long ago, as a slow network would."""
+        """Deliver an earlier batch again, as a slow network would."""
         process = self.processes[name]
         if not process.old_batches:
             return
@@ -268,7 +268,7 @@
             witness.node.reserver.mirror(batch)
 
     def settle(self, name: str) -> None:
-        """End a running request, and tell a process that may be the wrong one."""
+        """Settle a running request at a process, which may be the wrong one."""
         if not self.running:
             return
         request_id = self.rng.choice(list(self.running))
@@ -282,12 +282,12 @@
         self._end(request_id, used)
 
     def top_up(self, _name: str) -> None:
-        """Pay for more."""
+        """Sometimes increase the paid tokens."""
         if self.rng.random() < 0.15:
             self.paid_tokens += _TOP_UP_TOKENS
 
     def restart(self, name: str) -> None:
-        """Replace a process by a new one at its address, with an empty memory."""
+        """Sometimes replace a process by a new one at its address, with an empty memory."""
         if self.rng.random() < 0.5:
             return
         self.counts.restarts += 1
@@ -296,7 +296,7 @@
         self.processes[name] = self._start(name, self._incarnations[name])
 
     def give_back(self, name: str) -> None:
-        """Return some escrow, as for another data centre."""
+        """Return some escrow, as if another data centre needed it."""
         lane = self.rng.choice((Lane.WITNESSED, Lane.WITNESSED, Lane.OWN))
         tokens = self.rng.randint(1, 20)
         self.processes[name].node.agent.return_tokens(BUDGET, tokens, lane)
@@ -304,7 +304,7 @@
     # -- end ---------------------------------------------------------------------------------
 
     def exhaust(self) -> None:
-        """Spend all that anyone can get, with everyone in touch; latent faults come out.
+        """Spend all tokens while all processes are in touch, which exposes latent faults.
 
         Raises
         ------
@@ -416,13 +416,13 @@
         self.spent_tokens[running.ticket.epoch] += used_tokens - running.bound_tokens
 
     def _witness_of(self, state: EpochState) -> Process | None:
-        """Return the process that answers at the address of an epoch's witness."""
+        """Return the process at the address of an epoch's witness, if it is the witness."""
         assert state.witness is not None
         process = self.processes[state.witness.name]
         return process if state.epoch in process.node.state.witnesses else None
 
     def _pick(self, state: EpochState) -> Process | None:
-        """`Plant.HOLDER_PICKS_WITNESS`: another process, which takes itself for the witness."""
+        """Return a process that wrongly acts as witness (`InjectedFault.HOLDER_PICKS_WITNESS`)."""
         if self.plant is not InjectedFault.HOLDER_PICKS_WITNESS or self.rng.random() < 0.7:
             return None
         assert state.witness is not None
@@ -444,9 +444,9 @@
 
 _EXHAUST_ROUNDS = 8
 
-#: In the order of `History._actions`.
+#: Weights of the steps, in the order of `History._actions`.
 _WEIGHTS = (35, 35, 15, 3, 60, 30, 3, 25, 1, 0.5, 1)
 
 
 def _no_bill(_line: BillLine) -> None:
-    """Take a bill and forget it."""
+    """Ignore a bill."""
--- a/mothstand/testing/injected_faults.py
+++ b/mothstand/testing/injected_faults.py
@@ -1,4 +1,4 @@
-"""Known faults of the ledger, planted on purpose to show that the histories find them."""
+"""Faults injected into the ledger, which the histories must find."""
 
 from __future__ import annotations
 
@@ -15,36 +15,36 @@
 
 
 class InjectedFault(Enum):
-    """Known faults."""
+    """Known faults of the ledger."""
 
     NONE = auto()
-    #: A process restarted at the same address passes for the one before.
+    #: A restarted process at the same address keeps the incarnation of the previous one.
     RESTART_KEEPS_IDENTITY = auto()
-    #: The holder takes any process for its witness when the epoch's does not answer.
+    #: The holder picks another process as witness if the epoch's witness does not answer.
     HOLDER_PICKS_WITNESS = auto()
-    #: A holder that closes its epoch gives back what its witness may be spending.
+    #: A holder that closes its epoch returns tokens that its witness may be spending.
     PROMOTION_NOT_HELD_BACK = auto()
-    #: A witness that closes an epoch gives back the holder's allowance.
+    #: A witness that closes an epoch returns the holder's allowance.
     ALLOWANCE_NOT_HELD_BACK = auto()
-    #: Escrow returned after an epoch was closed counts once more.
+    #: Escrow that is returned after its epoch was closed counts twice.
     LATE_RETURN_COUNTS = auto()
-    #: A settlement that comes twice makes room twice.
+    #: A repeated settlement frees the tokens twice.
     SETTLES_TWICE = auto()
-    #: The holder spends before its witness has acknowledged.
+    #: The holder spends tokens before its witness has acknowledged the reservation.
     SPENDS_UNACKNOWLEDGED = auto()
 
 
 class UncheckedWitness(WitnessAccount):
-    """A witness picked in mid-epoch, which takes up the holder's count of batches."""
+    """A witness picked during an epoch, which accepts any batch number."""
 
     def apply_batch(self, batch: MirrorBatch, grants: dict[BudgetName, Grant]):  # type: ignore[no-untyped-def]
-        """Acknowledge whatever comes."""
+        """Acknowledge any batch."""
         self._last_batch_number = batch.number - 1
         return super().apply_batch(batch, grants)
 
 
 class _PromotionFold(LedgerFold):
-    """`Plant.PROMOTION_NOT_HELD_BACK`."""
+    """Implements `InjectedFault.PROMOTION_NOT_HELD_BACK`."""
 
     def _grant_ask(self, state: EpochState, ask) -> None:  # type: ignore[no-untyped-def]
         super()._grant_ask(state, ask)
@@ -53,7 +53,7 @@
 
 
 class _AllowanceFold(LedgerFold):
-    """`Plant.ALLOWANCE_NOT_HELD_BACK`."""
+    """Implements `InjectedFault.ALLOWANCE_NOT_HELD_BACK`."""
 
     def _grant_ask(self, state: EpochState, ask) -> None:  # type: ignore[no-untyped-def]
         super()._grant_ask(state, ask)
@@ -94,7 +94,7 @@
 
 
 class _LateReturnFold(LedgerFold):
-    """`Plant.LATE_RETURN_COUNTS`."""
+    """Implements `InjectedFault.LATE_RETURN_COUNTS`."""
 
     def _return_escrow(self, record):  # type: ignore[no-untyped-def]
         state = self.epochs.get(record.epoch)
--- a/mothstand/testing/load.py
+++ b/mothstand/testing/load.py
@@ -1,4 +1,4 @@
-"""Callers that send requests to a fleet while a test breaks it, and keep what they got."""
+"""Callers that send requests to a fleet during a test and record the outcomes."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class CallOutcome(Enum):
-    """What a caller got."""
+    """How a caller's request ended."""
 
     WHOLE = "whole"
     REFUSED = "refused"
@@ -33,20 +33,20 @@
 
 @dataclass(frozen=True, slots=True)
 class CallRecord:
-    """One request as its caller saw it.
+    """A request as its caller saw it.
 
     Parameters
     ----------
     prompt
-        Unique, so that journals and bills can be matched with it.
+        Unique, so that journals and bills can be matched with the request.
     text
-        The answer's text as far as it came.
+        Received part of the answer's text.
     usage_tokens
-        As reported in a whole answer.
+        Usage that a complete answer reports.
     run_state, kind
-        Of a refusal.
+        Run state and error kind of a refusal.
     url
-        Of the instance that was asked.
+        URL of the instance that received the request.
     """
 
     prompt: str
@@ -64,16 +64,16 @@
 
 @dataclass(slots=True)
 class Load:
-    """Callers in a thread of their own; a context manager.
+    """Context manager that runs callers in a separate thread.
 
     Parameters
     ----------
     urls
-        Returns the URLs that the balancer would send to now.
+        Returns the URLs to which the load balancer currently sends requests.
     callers
-        How many send at once, each one request after the other.
+        Number of concurrent callers, each with one request at a time.
     pause_s
-        Between two requests of one caller.
+        Pause between two requests of a caller.
     """
 
     urls: Callable[[], list[str]]
@@ -95,13 +95,13 @@
         return self
 
     def __exit__(self, *_: object) -> None:
-        """Stop the callers and wait for their last answers."""
+        """Stop the callers and wait for their running requests."""
         self._stop.set()
         assert self._thread is not None
         self._thread.join()
 
     def count(self, got: CallOutcome) -> int:
-        """Return how many callers' requests ended so."""
+        """Return the number of requests with an outcome."""
         return sum(record.outcome is got for record in self.records)
 
     async def _run(self) -> None:
@@ -147,10 +147,14 @@
 
 
 def read_answer(status: int, text: str, *, stream: bool) -> dict[str, Any]:
-    """Return the fields of a `CallRecord` that an HTTP answer gives."""
+    """Return the fields of a `CallRecord` that an HTTP response determines."""
     if status != 200:
         error = json.loads(text)["error"]
-        return {"outcome": CallOutcome.REFUSED, "run_state": error["run_state"], "kind": error["code"]}
+        return {
+            "outcome": CallOutcome.REFUSED,
+            "run_state": error["run_state"],
+            "kind": error["code"],
+        }
     if not stream:
         value = json.loads(text)
         return {
--- a/mothstand/testing/memory_store.py
+++ b/mothstand/testing/memory_store.py
@@ -1,4 +1,4 @@
-"""The platform's store in memory, with the ways in which it fails a caller."""
+"""An in-memory version of the platform's store, with its possible failures."""
 
 from __future__ import annotations
 
@@ -25,12 +25,12 @@
     from collections.abc import Callable
 
 
-#: Seconds until the store's client gives up a call that got no connection.
+#: Seconds after which the store's client gives up connecting.
 STORE_CONNECT_S: float = StoreSection.model_fields["connect_timeout_s"].default
 
 
 class StoreCallOutcome(Enum):
-    """What becomes of an append."""
+    """Outcome of an append."""
 
     ANSWERED = "answered"
     LOST = "never arrives"
@@ -47,7 +47,7 @@
 
 @dataclass(slots=True)
 class MemoryStore:
-    """The records of all streams."""
+    """Records of all streams."""
 
     conditional: bool = True
     _records: dict[Stream, list[KeyedRecord]] = field(default_factory=lambda: defaultdict(list))
@@ -57,7 +57,7 @@
     def append(
         self, stream: Stream, records: tuple[KeyedRecord, ...], at_offset: int | None
     ) -> bool:
-        """Append, with an offset only if the stream ends there, and return whether it did."""
+        """Append if the stream ends at `at_offset` or that is None; return whether it did."""
         stored = self._records[stream]
         if self.conditional and at_offset is not None and len(stored) != at_offset:
             return False
@@ -66,23 +66,23 @@
         return True
 
     def put(self, stream: Stream, key: str, value: bytes | None) -> None:
-        """Append one record, as operators and upstreams do."""
+        """Append a record, as operators and upstreams do."""
         self.append(stream, (KeyedRecord(key, value),), None)
 
     def delay(
         self, stream: Stream, records: tuple[KeyedRecord, ...], at_offset: int | None
     ) -> None:
-        """Keep an append for later."""
+        """Delay an append until `deliver_late`."""
         self._late.append(_LateAppend(stream, records, at_offset))
 
     def deliver_late(self) -> None:
-        """Do the appends that were delayed."""
+        """Perform the delayed appends."""
         late, self._late = self._late, []
         for append in late:
             self.append(append.stream, append.records, append.at_offset)
 
     def drop_history(self, stream: Stream) -> None:
-        """Keep only the newest record of each key; reads that start before now fail from now on."""
+        """Drop all but the newest record of each key; reads from earlier offsets will fail."""
         self._first[stream] = len(self._records[stream])
 
     def read(self, stream: Stream, from_offset: int) -> StreamPage:
@@ -91,7 +91,7 @@
         Raises
         ------
         StoreTrimmedError
-            If some of them are no longer kept.
+            If some of them are no longer retained.
         """
         if from_offset < self._first[stream]:
             raise StoreTrimmedError(f"{stream}: {from_offset} is not kept")
@@ -107,15 +107,16 @@
 
 
 class StoreLink(Store):
-    """One process's way to the store.
+    """A process's client for the store.
 
     Parameters
     ----------
-    fate
-        Decides what becomes of each append.
-    gives_up_after_s
-        How long a read hangs that began while the way was cut. It fails even if the cut ends
-        meanwhile: the packets that would have opened its connection are lost.
+    decide_outcome
+        Called for the outcome of each append.
+    read_timeout_s
+        Seconds after which a read fails that started while the client was cut off. It fails even
+        if the client is reconnected meanwhile, because the packets that would have opened its
+        connection are lost.
     """
 
     def __init__(
@@ -132,7 +133,7 @@
     async def append(
         self, stream: Stream, records: tuple[KeyedRecord, ...], *, at_offset: int | None = None
     ) -> None:
-        """Append all records or none; with an offset, only if the stream ends there."""
+        """Append all records or none; with `at_offset`, only if the stream ends there."""
         fate = StoreCallOutcome.LOST if self.is_cut else self._fate()
         if fate is StoreCallOutcome.LATE:
             self._store.delay(stream, records, at_offset)
@@ -145,7 +146,7 @@
             raise StoreConflictError(f"does not end at {at_offset}")
 
     async def read(self, stream: Stream, from_offset: int, *, wait_s: float = 0.0) -> StreamPage:
-        """Return records from an offset on."""
+        """Return the records from an offset on."""
         await self._reach()
         return self._store.read(stream, from_offset)
 
@@ -165,7 +166,7 @@
 
 
 def random_fate(rng: random.Random, *, failing: float) -> Callable[[], StoreCallOutcome]:
-    """Return a decision that lets a part of the appends fail in each way alike."""
+    """Return a function that fails a share of the appends, in each way with equal probability."""
 
     def decide() -> StoreCallOutcome:
         if rng.random() >= failing:
--- a/mothstand/testing/orders.py
+++ b/mothstand/testing/orders.py
@@ -1,4 +1,4 @@
-"""Engines that take orders, in fake time, and random histories of their issuers."""
+"""Fake engines that accept orders, and random histories of the instances that issue them."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 
 def engine(name: str, orders: OrderCheck = OrderCheck.UNFENCED) -> Upstream:
-    """Return an engine that takes orders."""
+    """Return an engine that accepts orders."""
     return Upstream(
         name, UpstreamKind.ENGINE, "127.0.0.1:1", HERE, ("m",), 8, orders=orders, role="mixed"
     )
 
 
 def state(offset: int, *engines: Upstream, weight_loads: int = 1) -> ConfigState:
-    """Return a configuration whose model's version is its offset."""
+    """Return a configuration in which the model's version is the offset."""
     config = FleetConfig(
         upstreams={e.name: e for e in engines},
         models={"m": Model("m", str(offset))},
@@ -36,7 +36,7 @@
 
 @dataclass(slots=True)
 class FakeEngine:
-    """An engine in fake time."""
+    """An engine that loads models in simulated time."""
 
     upstream: Upstream
     load_s: float = 3.0
@@ -46,7 +46,7 @@
     loads: list[tuple[float, EngineSetup]] = field(default_factory=list)
 
     def take(self, order: Order, now_s: float) -> None:
-        """Take an order, as its kind does."""
+        """Accept an order; a fenced engine ignores one with an old fencing number."""
         if self.upstream.orders is OrderCheck.FENCED:
             if order.fencing < self.fencing:
                 return
@@ -55,14 +55,14 @@
         self.loads.append((now_s + self.load_s, order.setup))
 
     def report(self, now_s: float) -> EngineReport:
-        """Return what it says of itself."""
+        """Return the engine's report."""
         while self.loads and self.loads[0][0] <= now_s:
             self.setup = self.loads.pop(0)[1]
         return EngineReport(self.setup, self.fencing, bool(self.loads))
 
 
 class OrderHistory:
-    """A random history of three issuers with wrong views, pauses and late orders."""
+    """A random history of three issuers with wrong membership views, pauses and late orders."""
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
@@ -75,7 +75,7 @@
         self.held_up: list[Order] = []
 
     def run(self, steps: int) -> None:
-        """Run a history with faults, then end them and let the fleet settle."""
+        """Run random steps with disruptions, then rounds without, until the engines are stable."""
         for _ in range(steps):
             self.now_s += self.rng.choice((0.1, 0.5, 2.0))
             if self.rng.random() < 0.05:
@@ -89,7 +89,7 @@
         self._settle()
 
     def _settle(self) -> None:
-        """End the faults; the last orders that were held up arrive when all is done."""
+        """Run without disruptions; the last delayed orders arrive once the engines are stable."""
         self.seen = dict.fromkeys(NAMES, len(self.states) - 1)
         self._run_rounds(100)
         while self.held_up:
@@ -111,7 +111,7 @@
             if order is None or not planner.may_send(order, self.now_s):
                 continue
             if self.rng.random() < hold_up:
-                # The process stops right after the check, or the network holds the order up.
+                # The process is paused right after the check, or the network delays the order.
                 self.held_up.append(order)
             else:
                 self._arrive(order)
--- a/mothstand/testing/registrations.py
+++ b/mothstand/testing/registrations.py
@@ -1,4 +1,4 @@
-"""What an upstream of the users' platform writes of itself, whole and valid."""
+"""A valid registration, as upstreams of the users' platform write it."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 def registration(
     service: str, address: str, *, born_ms: int = 1_796_000_000_000
 ) -> dict[str, object]:
-    """Return the registration of an upstream that takes requests."""
+    """Return the registration of an upstream that is ready for requests."""
     return {
         "service": service,
         "address": address,
--- a/mothstand/testing/retry_faults.py
+++ b/mothstand/testing/retry_faults.py
@@ -1,4 +1,4 @@
-"""Faults of the retry budget planted on purpose, which the histories must find."""
+"""Faults injected into the retry budget, which the retry histories must find."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class InjectedFault(Enum):
-    """What is wrong with an instance."""
+    """Faults of the retry budget."""
 
     NONE = "none"
     OWN_WINDOW = "requests pay in the window before each retry"
@@ -27,7 +27,7 @@
 
 
 class _OwnWindowBudget(RetryBudget):
-    """Counts in the window before each retry only."""
+    """Counts requests and retries only in the window before each retry."""
 
     def _decide(self, now_s: float, sharers: int) -> RetryDecision:
         used = 1 + sum(at_s >= now_s - self.settings.window_s for at_s in self._granted_s)
@@ -38,7 +38,7 @@
 
 
 class _ForgetfulShares(BurstShares):
-    """Does not wait for the retries of an earlier start."""
+    """Does not wait until the retries of the previous process have left the window."""
 
     def _apply_own_announcement(self, incarnation: str, notice: SharerNotice, offset: int) -> None:
         super()._apply_own_announcement(incarnation, notice, offset)
@@ -46,7 +46,7 @@
 
 
 class _HastyShares(BurstShares):
-    """Does not wait for the others."""
+    """Does not wait until the other instances count this one as a sharer."""
 
     def _update_counted_by_all(self, now_s: float) -> None:
         self._is_counted_by_all = self._own_offset is not None
@@ -59,19 +59,19 @@
 
 
 def budget_of(plant: InjectedFault, settings: RetryBudgetSettings) -> RetryBudget:
-    """Return a retry budget, with a fault if the plant is one of it."""
+    """Return a retry budget, a faulty one if the fault concerns the budget."""
     return (_OwnWindowBudget if plant is InjectedFault.OWN_WINDOW else RetryBudget)(settings)
 
 
 def plant_shares(plant: InjectedFault, members: MemberFeed) -> None:
-    """Put shares with a fault into a feed that has not begun, if the plant is one of them."""
+    """Replace the burst shares of a feed that has not started, if the fault concerns them."""
     right = members.burst_shares
     wrong = _SHARES.get(plant, BurstShares)
     members.burst_shares = wrong(right.name, right.incarnation, right.span_s, right.started_s)
 
 
 def sharers_of(plant: InjectedFault, members: MemberFeed, now_s: float) -> int:
-    """Return by how many an instance divides the burst."""
+    """Return the number of sharers by which an instance divides the burst."""
     if plant is InjectedFault.BELIEVES_FLEET:
         return members.fleet.size
     return members.burst_shares.sharers(now_s)
--- a/mothstand/testing/retry_histories.py
+++ b/mothstand/testing/retry_histories.py
@@ -1,7 +1,7 @@
-"""Random histories of a fleet that retries whenever it may, before upstreams that refuse.
+"""Random histories of a fleet that retries as often as it may, with upstreams that refuse.
 
 Real announcements and retry budgets run in virtual time against a store in memory. Processes are
-killed and start again, hang, are added, and cannot reach the store; callers' load changes and moves
+killed and restarted, freeze, are added, and cannot reach the store; the load changes and moves
 between instances. Arrivals are counted as the operators count them, in every window.
 """
 
@@ -33,17 +33,17 @@
     from ..clock import Clock
     from ..core.retry_budget import RetryBudget, RetryBudgetSettings
 
-#: Seconds that a try takes that upstreams refuse.
+#: Seconds until an upstream refuses an attempt.
 _TRY_S = 0.004
 
-#: Part of the tries that take up to so long on their way, over links that lose packets.
+#: Share of the attempts that lossy links delay, and the longest delay in seconds.
 _DELAYED_TRIES = 0.05
 _MOST_DELAY_S = 0.8
 
-#: Tries of one request; the upstreams refuse all of them.
+#: Attempts of one request; upstreams refuse all of them.
 _TRIES = 3
 
-#: Part of the announcements that fail while the store is in trouble.
+#: Share of the announcements that fail, with `Disruption.STORE_AWAY`.
 _FAILING_APPENDS = 0.3
 
 #: Seconds from the processes' start to the first callers.
@@ -51,7 +51,7 @@
 
 
 class Disruption(Flag):
-    """What may happen in a history, beside callers whose requests are all refused."""
+    """Disruptions of a history, besides the refusal of all requests."""
 
     NONE = 0
     KILLS = auto()
@@ -76,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Excess:
-    """The window that went furthest beyond the budget, or came closest to it."""
+    """Repeats counted in one window, and the number that the budget allows."""
 
     began_s: float
     repeats: int
@@ -84,20 +84,20 @@
 
     @property
     def is_broken(self) -> bool:
-        """Whether there were more arrivals than allowed."""
+        """Whether there were more repeats than allowed."""
         return self.repeats > self.allowed
 
 
 @dataclass(slots=True)
 class ArrivalCount:
-    """Callers' requests and arrivals beyond the first of each, as the operators count them."""
+    """Times of requests and of their repeated arrivals, as the operators count them."""
 
     settings: RetryBudgetSettings
     requests_s: list[float] = field(default_factory=list)
     repeats_s: list[float] = field(default_factory=list)
 
     def worst(self) -> Excess:
-        """Return the window with the most repeats beyond what it allows."""
+        """Return the window that exceeds the budget most, or comes closest to it."""
         self.requests_s.sort()
         self.repeats_s.sort()
         windows = [self._window(began_s) for began_s in self.repeats_s]
@@ -117,7 +117,7 @@
 
 @dataclass(slots=True)
 class _Instance:
-    """One process of the fleet."""
+    """A process of an instance of the fleet."""
 
     name: str
     link: HangingLink
@@ -129,7 +129,7 @@
     scope: anyio.CancelScope = field(default_factory=anyio.CancelScope)
 
     async def run(self) -> None:
-        """Live until killed."""
+        """Run until killed."""
         with self.scope:
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(self.members.run)
@@ -149,14 +149,14 @@
 
 @dataclass(slots=True)
 class RetryHistory:
-    """One history; `run` plays it and returns its worst window.
+    """A random history of retries; `run` simulates it and returns its worst window.
 
     Parameters
     ----------
     duration_s
-        From the first callers on.
+        Seconds from the first request on.
     requests_per_s
-        Of the whole fleet while its load does not jump.
+        Load of the whole fleet, without `Disruption.JUMPS`.
     """
 
     seed: int
@@ -174,13 +174,13 @@
     _starts: int = 0
 
     def run(self) -> Excess:
-        """Play the history in virtual time."""
+        """Simulate the history in virtual time."""
         count = ArrivalCount(self.settings)
         run_in_virtual_time(lambda: self._play(count))
         return count.worst()
 
     def _chance(self, *what: object) -> random.Random:
-        """Return a source of chance of its own, whatever else is drawn in which order."""
+        """Return a separate generator, so that draws for other purposes do not affect it."""
         return random.Random(f"{self.seed} {what}")
 
     async def _play(self, count: ArrivalCount) -> None:
@@ -237,7 +237,7 @@
             count.repeats_s.append(anyio.current_time())
 
     async def _series(self, trouble: Disruption) -> None:
-        """Let one kind of trouble happen again and again."""
+        """Repeat one kind of disruption until the end of the history."""
         rng = self._chance(trouble)
         while True:
             await anyio.sleep(rng.choice([0.7, 2.0, 4.0, 9.0]))
@@ -307,5 +307,5 @@
 
 
 def _delay_s(rng: random.Random) -> float:
-    """Return how long a try is on its way."""
+    """Return the network delay of an attempt."""
     return rng.uniform(0.0, _MOST_DELAY_S) if rng.random() < _DELAYED_TRIES else 0.0
--- a/mothstand/testing/views.py
+++ b/mothstand/testing/views.py
@@ -1,4 +1,4 @@
-"""What the log of a fleet of real processes says, for tests and benchmarks."""
+"""Reads the state of a fleet of real processes from the log, for tests and benchmarks."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def view_of(fleet: Fleet) -> LogView:
-    """Return the folds of the log."""
+    """Return the log's current state."""
 
     async def read() -> LogView:
         log = HttpLog(fleet.platform.url, caller="test", timeout_s=5.0)
@@ -31,7 +31,7 @@
     Raises
     ------
     AssertionError
-        If the budget is in no ledger, or its shard has no epoch there.
+        If no ledger has the budget, or its shard has no epoch in the data centre.
     """
     for fold in view_of(fleet).ledgers.values():
         if budget in fold.paid_tokens:
@@ -42,7 +42,7 @@
 
 
 def holder_of(fleet: Fleet, budget: BudgetName, data_centre: DataCentre) -> tuple[str, str]:
-    """Return the names of a budget's leaseholder in a data centre and its witness (or "")."""
+    """Return the names of a budget's holder in a data centre and of the witness, if any."""
     state = epoch_of(fleet, budget, data_centre)
     return state.holder.name, state.witness.name if state.witness else ""
 
--- a/mothstand/testing/virtual_time.py
+++ b/mothstand/testing/virtual_time.py
@@ -1,4 +1,4 @@
-"""Runs asynchronous code in virtual time: waits take none, and the order is always the same."""
+"""Runs asynchronous code in virtual time, without waits and in a reproducible order."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
 
 
 class VirtualClock(Clock):
-    """The event loop's own time, which `run_in_virtual_time` moves on when all tasks wait."""
+    """The event loop's time, which `run_in_virtual_time` advances when all tasks wait."""
 
     def now(self) -> datetime:
-        """Return a time of day that goes with the loop's time."""
+        """Return a time of day derived from the loop's time."""
         return _START + timedelta(seconds=anyio.current_time())
 
     def monotonic_s(self) -> float:
@@ -38,14 +38,14 @@
 
 
 def run_in_virtual_time(work: Callable[[], Awaitable[_T]], *, order: int = 0) -> _T:
-    """Return the result of asynchronous code, without its waits.
+    """Return the result of asynchronous code, run without real waits.
 
-    Code that uses asyncio itself cannot be run so; what uses anyio can.
+    The code must use anyio or trio; asyncio is not supported.
 
     Parameters
     ----------
     order
-        Seeds the order of tasks that wake together, and the `random` module.
+        Seed of the order of tasks that wake at the same time, and of the `random` module.
     """
     with _seeded(order):
         return trio.run(work, clock=MockClock(autojump_threshold=0))
@@ -53,8 +53,8 @@
 
 @contextmanager
 def _seeded(order: int) -> Iterator[None]:
-    """Let runs of equal order be equal, until the end of the block."""
-    # The switch that pytest-trio sets for Hypothesis; Trio has no public one.
+    """Seed Trio's scheduler and the `random` module, and restore both at the end."""
+    # Trio has no public switch for this; pytest-trio sets the same one for Hypothesis.
     scheduler = trio_scheduler
     was_deterministic = scheduler._ALLOW_DETERMINISTIC_SCHEDULING
     scheduler_state, random_state = scheduler._r.getstate(), random.getstate()
--- a/mothstand/tests/conftest.py
+++ b/mothstand/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures: fleets of real processes."""
+"""Fixtures that start fleets of real processes, and seed `random` for each test."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @pytest.fixture
 def empty_fleet(tmp_path: Path) -> Iterator[Fleet]:
-    """Return a fleet with a platform stand-in only."""
+    """Return a fleet that has only a platform stand-in."""
     with Fleet(tmp_path) as fleet:
         fleet.start_platform()
         yield fleet
@@ -26,7 +26,7 @@
 
 @pytest.fixture
 def pair(empty_fleet: Fleet, tmp_path: Path) -> Fleet:
-    """Return two instances in one data centre, with an engine and services, configured."""
+    """Return a configured fleet of two instances in one data centre, with engines and services."""
     fleet = empty_fleet
     fleet.start_engine("llm-a", "sto-a")
     fleet.start_engine("llm-b", "sto-a")
@@ -43,9 +43,9 @@
 
 @pytest.fixture(autouse=True)
 def _same_chance() -> None:
-    """Seed the jitter of the code under test, so that a play in virtual time repeats exactly.
+    """Seed the jitter of the code under test, so that simulations repeat exactly.
 
-    Of one seed of the recovery's model .23 to .27 was served, and .25 is asked: it passed and
-    failed by chance.
+    Without it, one seed of test_recovery.py served a share of .23 to .27, where .25 is required,
+    and failed at random.
     """
     random.seed(1)
--- a/mothstand/tests/test_checker.py
+++ b/mothstand/tests/test_checker.py
@@ -1,4 +1,4 @@
-"""The history checker finds each violation that is planted."""
+"""Tests that the history checker finds each kind of violation."""
 
 from __future__ import annotations
 
--- a/mothstand/tests/test_claim_histories.py
+++ b/mothstand/tests/test_claim_histories.py
@@ -1,4 +1,4 @@
-"""Random histories of claims, and known faults that they must find."""
+"""Tests random histories of claims, which must also find injected faults."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 _MOST_SEEDS = 400
 _STEPS = 1200
 
-#: 2706: a renewal without the window that covers what was used in an outage.
-#: 1175: a successor lowered a claim again at each look, to less than its predecessor had used.
+#: 2706: a renewal lacked the window that covers what was used in an outage.
+#: 1175: a successor lowered a claim at each poll, below what its predecessor had used.
 _FAILED_SEEDS = (2706, 1175)
 
-#: Requests that a history serves on average, at least; 84 were counted over sixty of them.
+#: Minimum average of requests served per history; over sixty histories it was 84.
 _LEAST_SERVED = 60
 
 
@@ -31,7 +31,7 @@
 def run_one(
     seed: int, plant: InjectedFault = InjectedFault.NONE, *, hands_over: bool = False
 ) -> Counter[str]:
-    """Run one history from its seed."""
+    """Run the history of a seed and return its counts."""
     history = ClaimHistory(random.Random(seed), plant, hands_over=hands_over)
     anyio.run(history.run, _STEPS)
     return history.counts
@@ -39,21 +39,21 @@
 
 class TestClaimHistories:
     def test_nothing_is_overspent(self) -> None:
-        """Symptom: more is consumed than was paid.
+        """Guard against rules of claims that hold only without disruptions.
 
-        Sequence: any of kills, cuts, suspensions, clock jumps, lost and late appends, lost loans.
-        Cause it guards against: a rule of the claims that holds only when all goes well.
+        Kills, lost connections, suspensions, clock jumps, lost and late appends or lost loans
+        would then let more be consumed than was paid.
         """
         counts: Counter[str] = Counter()
         for seed in range(_CLEAN_SEEDS):
             counts += run_one(seed)
-        # The histories are worth something only if they reach the rare states.
+        # The histories must reach rare states to be a useful test.
         for rare in ("unlocked", "opened", "silent", "lent", "repeated", "reclaimed", "all killed"):
             assert counts[rare] > 20, (rare, counts)
         assert counts["served"] > _LEAST_SERVED * _CLEAN_SEEDS
 
     def test_nothing_is_overspent_where_tokens_are_left_to_others(self) -> None:
-        """Symptom, sequence and cause: see above; also handovers, some of which are lost."""
+        """Guard against the same failure with handovers, some of which are lost."""
         counts: Counter[str] = Counter()
         for seed in range(_CLEAN_SEEDS):
             counts += run_one(seed, hands_over=True)
--- a/mothstand/tests/test_crash_histories.py
+++ b/mothstand/tests/test_crash_histories.py
@@ -1,4 +1,4 @@
-"""A request that ends upstreams is stopped in the whole fleet, and no other one for it."""
+"""Tests that the fleet quarantines a request that crashes upstreams, and no other request."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 _SEEDS = range(4)
 
-#: Part of the requests of one kind that may fare worse than those of the other by chance.
+#: Allowed random difference between the shares of two kinds of requests.
 _CHANCE = 0.05
 
 
@@ -44,7 +44,7 @@
         "troubles", [*CrashDisruption, CrashDisruption.NONE, ALL_CRASH_DISRUPTIONS], ids=str
     )
     def test_the_bound_holds_and_others_are_served(self, troubles: CrashDisruption) -> None:
-        # Guards against ends that an instance forgets, keeps to itself, or blames on others.
+        # Guards against crashes that are forgotten, not reported, or blamed on other requests.
         results = play(troubles)
         assert worst(results) <= ALLOWED_ARRIVALS
         assert share(results, "distinct", "quarantined") == 0.0
@@ -53,13 +53,13 @@
 
     @pytest.mark.parametrize("troubles", [CrashDisruption.NONE, ALL_CRASH_DISRUPTIONS], ids=str)
     def test_the_bound_holds_where_callers_repeat(self, troubles: CrashDisruption) -> None:
-        # Guards against callers that reach two upstreams with each of several quick repeats.
+        # Guards against quick repeats that each reach two upstreams.
         results = play(troubles, repeats=3)
         assert worst(results) <= ALLOWED_ARRIVALS
 
     @pytest.mark.parametrize("repeats", [0, 3])
     def test_no_other_request_pays_for_upstreams_that_end_in_series(self, repeats: int) -> None:
-        # Guards against requests that are refused because upstreams ended for another cause.
+        # Guards against refusing requests because upstreams crashed for another cause.
         with_it, without = (
             play(CrashDisruption.ENGINES_CRASH, plant, has_crashing=False, repeats=repeats)
             for plant in (InjectedFault.NONE, InjectedFault.HOLDS_NOTHING)
@@ -70,7 +70,7 @@
 
     @pytest.mark.parametrize("order", [14, 18, 63])
     def test_a_popular_request_is_tried_again_where_all_instances_restart(self, order: int) -> None:
-        # Guards against trials that nobody makes, and pauses that each start begins anew.
+        # Guards against probes that no instance sends, and waits that start anew at each restart.
         results = play(ALL_CRASH_DISRUPTIONS, order=order)
         assert worst(results) <= ALLOWED_ARRIVALS
         popular = share(results, "popular", "answered")
@@ -80,7 +80,7 @@
         assert worst(play(ALL_CRASH_DISRUPTIONS, instances=18)) <= ALLOWED_ARRIVALS
 
     def test_the_bound_holds_where_most_appends_fail(self) -> None:
-        # Guards against an end that is told once, and lost with a failed append.
+        # Guards against a crash that is reported only once, in an append that fails.
         results = play(CrashDisruption.STORE_AWAY, instances=18, failing_appends=0.9)
         assert worst(results) <= ALLOWED_ARRIVALS
 
--- a/mothstand/tests/test_crashing_request.py
+++ b/mothstand/tests/test_crashing_request.py
@@ -1,4 +1,4 @@
-"""A request that ends each upstream that runs it, before instances as real processes."""
+"""Tests the quarantine of a request that crashes upstreams, with real processes."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 class TestCrashingRequest:
     @pytest.mark.parametrize("seed", [1, 2])
     def test_is_kept_from_upstreams_at_all_instances(self, tmp_path: Path, seed: int) -> None:
-        # Guards against a request that ends upstream after upstream, sent again to other instances.
+        # Guards against a request that crashes further upstreams when repeated at other instances.
         with GatewayFleet(tmp_path) as fleet:
             crash_fleet = CrashFleet(fleet, seed)
             crash_fleet.run(duration_s=12.0, crash_gap_s=0.5, kill_at_s=5.0)
--- a/mothstand/tests/test_histories.py
+++ b/mothstand/tests/test_histories.py
@@ -1,4 +1,4 @@
-"""Random histories of the ledger, and known faults that they must find."""
+"""Tests random histories of the ledger, which must also find injected faults."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def run_one(seed: int, plant: InjectedFault) -> Counts:
-    """Run one history from its seed."""
+    """Run the history of a seed and return its counts."""
     per_place = 3 if plant is InjectedFault.HOLDER_PICKS_WITNESS else 2
     history = History(random.Random(seed), plant=plant, per_place=per_place)
     history.run(_STEPS)
@@ -31,13 +31,13 @@
 
 class TestHistories:
     def test_nothing_is_overspent(self) -> None:
-        """Symptom: more is spent than was paid.
+        """Guard against rules of the ledger that hold only without disruptions.
 
-        Sequence: any of kills, pauses, cuts, takeovers, promotions, lost answers, old batches.
-        Cause it guards against: any rule of the ledger that holds only when all goes well.
+        Kills, pauses, lost connections, takeovers, promotions, lost answers or old batches would
+        then let more be spent than was paid.
         """
         counts = [run_one(seed, InjectedFault.NONE) for seed in range(_CLEAN_SEEDS)]
-        # The histories are worth something only if they reach the rare states.
+        # The histories must reach rare states to be a useful test.
         assert sum(c.dispatched for c in counts) > 50 * _CLEAN_SEEDS // 2
         for rare in ("promoted", "allowance", "epochs", "returned", "restarts"):
             assert sum(getattr(c, rare) for c in counts) > 50, rare
@@ -53,10 +53,9 @@
         "plant", [plant for plant in InjectedFault if plant is not InjectedFault.NONE]
     )
     def test_known_fault_is_found(self, plant: InjectedFault) -> None:
-        """Symptom: a fault that overspends passes the checks.
+        """Guard against checks and histories that are too weak to find a fault.
 
-        Sequence: the same histories, with one rule of the ledger broken on purpose.
-        Cause it guards against: checks or histories too weak to reach the fault.
+        The histories run with one rule of the ledger broken.
         """
         for seed in range(_MOST_SEEDS):
             try:
--- a/mothstand/tests/test_recovery.py
+++ b/mothstand/tests/test_recovery.py
@@ -1,17 +1,13 @@
-"""What is left of a budget for callers after instances were stopped in an outage, and all died.
+"""Tests that a fleet still serves requests after stops in an outage and a kill of all processes.
 
-What users saw: after the last fault of a day hardly any request was served, though a seventh of
-what had been paid was unspent.
+Guards against unspent tokens that are lost with stopped instances. An instance that stops while it
+cannot reach the store cannot lower its claims; once it may have spent them past their windows, the
+unspent rest cannot be proven. It now hands its tokens over to a peer: of 3,250,000 paid tokens,
+466,000 were never consumed without the handover and 179,000 with it. The rest is claimed by holders
+stopped before they could spend their whole claims, and lies in the windows of killed ones.
 
-Order of events: the instances lose the store; all are stopped and started again one after the other
-meanwhile; the store comes back, the budget is raised; later all processes are killed at once.
-
-Cause: who is stopped in an outage cannot lower its claims. Once it has been out of touch for long
-enough to spend them whole, nobody can tell that it did not, and the rest was lost with it. At the
-budget's end all that was unspent lay there: of 3,250,000 tokens three holders had some 700,000 more
-than they had said to have spent, and 466,000 were never consumed. Now they leave them to a peer,
-and 179,000 are not: with holders that were stopped before they could spend their claims whole, and
-in the windows of those that died at once.
+In the simulated day all instances lose the store and are restarted one after the other, the store
+becomes reachable again, the budget is topped up, and later all processes are killed at once.
 """
 
 from __future__ import annotations
@@ -25,24 +21,24 @@
 from ..testing.budget_fleet import BudgetFleet
 from ..testing.virtual_time import run_in_virtual_time
 
-#: Requests that use 8,100 tokens on average, ten a second; the day would use 3.8 million tokens.
+#: Ten requests per second with 8,100 tokens on average; the day would use 3.8 million tokens.
 _REQUESTS_PER_S = 10.0
 _USED_TOKENS = 8_100
 
-#: Paid at the day's start; a quarter of it is added later.
+#: Tokens paid at the start of the day; a quarter is added later.
 _TOO_FEW_PAID_TOKENS = 2_600_000
 _ENOUGH_PAID_TOKENS = 3_000_000
 _DAY_S = 51.0
 
-#: Seconds after a death of all within which a fleet must have recovered, and the least part of the
-#: requests after that which must be served: the platform's terms.
+#: The platform's terms: seconds within which a fleet must recover from a kill of all processes, and
+#: the minimum share of the later requests that it must serve.
 _RECOVERY_S = 12.0
 _LEAST_SERVED_SHARE = 0.25
 
 
 @dataclass(slots=True)
 class _Day:
-    """The day's events, and what was counted up to the end of the recovery."""
+    """Events of the simulated day, and counts at the end of the recovery."""
 
     fleet: BudgetFleet
     seed: int
@@ -55,7 +51,7 @@
             await self.fleet.run(_DAY_S, requests_per_s=_REQUESTS_PER_S, seed=self.seed)
 
     async def _events(self) -> None:
-        # The fleet gets its callers after five seconds.
+        # The first requests arrive after five seconds.
         began_s = anyio.current_time() + 5.0
 
         async def until(second: float) -> None:
@@ -91,7 +87,7 @@
 
 
 def _served_share(paid_tokens: int, seed: int) -> float:
-    """Return the part served of what is asked after the recovery and could be paid for then."""
+    """Return the served share of the payable requests after the recovery."""
     day = _Day(BudgetFleet(3, 2, paid_tokens), seed)
     run_in_virtual_time(day.run)
     asked = day.fleet.counts["asked"] - day.before["asked"]
@@ -101,18 +97,18 @@
 
 class TestRecovery:
     def test_stops_in_an_outage_and_a_death_of_all(self) -> None:
-        """Symptom, sequence and cause: see above. Far more is asked than was paid for."""
+        """Demand far exceeds what is paid for."""
         assert _served_share(_TOO_FEW_PAID_TOKENS, seed=1) >= _LEAST_SERVED_SHARE
 
     @pytest.mark.parametrize("seed", [1, 2, 3, 4])
     def test_the_same_with_nearly_all_paid_for(self, seed: int) -> None:
-        """Symptom, sequence and cause: see above. What is asked is about what was paid for.
+        """Demand is about what is paid for.
 
-        Before stopped instances left their tokens to a peer 0, 10, 36 and 10 % were served.
+        Without handovers by stopped instances, 0, 10, 36 and 10 % were served.
         """
         assert _served_share(_ENOUGH_PAID_TOKENS, seed) >= _LEAST_SERVED_SHARE
 
     @pytest.mark.parametrize("seed", [5, 11, 14, 17, 18])
     def test_the_same_with_other_callers(self, seed: int) -> None:
-        """Symptom, sequence and cause: see above. Of seeds 1 to 20 these five served too few."""
+        """Of seeds 1 to 20, these five served too few requests."""
         assert _served_share(_ENOUGH_PAID_TOKENS, seed) >= _LEAST_SERVED_SHARE
--- a/mothstand/tests/test_retry_histories.py
+++ b/mothstand/tests/test_retry_histories.py
@@ -1,4 +1,4 @@
-"""The fleet's retry budget holds in each window, whatever its instances believe of one another."""
+"""Tests that the fleet keeps its retry budget in each window, with any membership view."""
 
 from __future__ import annotations
 
@@ -17,23 +17,23 @@
 
 class TestRetryHistories:
     def test_windows_of_the_instances_that_do_not_lie_alike(self) -> None:
-        # Guards against retries paid for by requests that the fleet's window does not have.
+        # Guards against retries allowed by requests that lie outside the fleet's window.
         assert broken_seeds(Disruption.JUMPS) + broken_seeds(Disruption.NONE) == []
 
     def test_restarts_in_series(self) -> None:
-        # Guards against a start that has its part of the burst anew within the same window.
+        # Guards against a restarted instance that uses its share of the burst again in one window.
         assert broken_seeds(Disruption.KILLS) == []
 
     def test_store_away_from_the_start(self) -> None:
-        # Guards against an instance that takes itself for the whole fleet.
+        # Guards against an instance that uses the whole burst because it knows no other instance.
         assert broken_seeds(Disruption.STORE_AWAY) == []
 
     def test_instances_that_are_added(self) -> None:
-        # Guards against parts of the burst that newcomers take before others give them up.
+        # Guards against new instances that use a share of the burst before the others release it.
         assert broken_seeds(Disruption.ADDED) == []
 
     def test_processes_that_hang(self) -> None:
-        # Guards against requests that count as sent when a process woke and read them.
+        # Guards against counting a request as sent when a frozen process resumed and read it.
         assert broken_seeds(Disruption.FREEZES) == []
 
     @pytest.mark.parametrize("instances", [6, 18])
--- a/mothstand/tests/test_virtual_time.py
+++ b/mothstand/tests/test_virtual_time.py
@@ -1,4 +1,4 @@
-"""Runs in virtual time are the same each time."""
+"""Tests that runs in virtual time are reproducible."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 class TestRunInVirtualTime:
     def test_equal_runs_wake_tasks_in_equal_order(self) -> None:
-        # Guards against a test that passes or fails by the scheduler's own chance.
+        # Guards against tests that fail at random because of the scheduler.
         assert _order_of_tasks(7) == _order_of_tasks(7)
         assert len({tuple(_order_of_tasks(order)) for order in range(5)}) > 1
 
