--- a/mothstand/tests/conftest.py
+++ b/mothstand/tests/conftest.py
@@ -42,7 +42,7 @@
 
 
 @pytest.fixture(autouse=True)
-def _same_chance() -> None:
+def _seed_random() -> None:
     """Seed the jitter of the code under test, so that simulations repeat exactly.
 
     Without it, one seed of test_recovery.py served a share of .23 to .27, where .25 is required,
--- a/mothstand/tests/test_histories.py
+++ b/mothstand/tests/test_histories.py
@@ -12,7 +12,7 @@
 from ..testing.histories import Counts, History, InjectedFault, OverspentError
 
 _CLEAN_SEEDS = 150
-_MOST_SEEDS = 1500
+_MAX_SEEDS = 1500
 _STEPS = 1000
 
 
@@ -21,10 +21,10 @@
     logging.set_verbosity(logging.FATAL)
 
 
-def run_one(seed: int, plant: InjectedFault) -> Counts:
+def run_one(seed: int, fault: InjectedFault) -> Counts:
     """Run the history of a seed and return its counts."""
-    per_place = 3 if plant is InjectedFault.HOLDER_PICKS_WITNESS else 2
-    history = History(random.Random(seed), plant=plant, per_place=per_place)
+    per_data_centre = 3 if fault is InjectedFault.HOLDER_PICKS_WITNESS else 2
+    history = History(random.Random(seed), fault=fault, per_data_centre=per_data_centre)
     history.run(_STEPS)
     return history.counts
 
@@ -50,16 +50,16 @@
         History(rng).run(150)
 
     @pytest.mark.parametrize(
-        "plant", [plant for plant in InjectedFault if plant is not InjectedFault.NONE]
+        "fault", [fault for fault in InjectedFault if fault is not InjectedFault.NONE]
     )
-    def test_known_fault_is_found(self, plant: InjectedFault) -> None:
+    def test_injected_fault_is_found(self, fault: InjectedFault) -> None:
         """Guard against checks and histories that are too weak to find a fault.
 
         The histories run with one rule of the ledger broken.
         """
-        for seed in range(_MOST_SEEDS):
+        for seed in range(_MAX_SEEDS):
             try:
-                run_one(seed, plant)
+                run_one(seed, fault)
             except OverspentError:
                 return
-        pytest.fail(f"{plant} was not found in {_MOST_SEEDS} histories")
+        pytest.fail(f"{fault} was not found in {_MAX_SEEDS} histories")
--- a/mothstand/tests/test_recovery.py
+++ b/mothstand/tests/test_recovery.py
@@ -26,14 +26,14 @@
 _USED_TOKENS = 8_100
 
 #: Tokens paid at the start of the day; a quarter is added later.
-_TOO_FEW_PAID_TOKENS = 2_600_000
-_ENOUGH_PAID_TOKENS = 3_000_000
+_SCARCE_PAID_TOKENS = 2_600_000
+_AMPLE_PAID_TOKENS = 3_000_000
 _DAY_S = 51.0
 
 #: The platform's terms: seconds within which a fleet must recover from a kill of all processes, and
 #: the minimum share of the later requests that it must serve.
 _RECOVERY_S = 12.0
-_LEAST_SERVED_SHARE = 0.25
+_MIN_SERVED_SHARE = 0.25
 
 
 @dataclass(slots=True)
@@ -42,7 +42,7 @@
 
     fleet: BudgetFleet
     seed: int
-    before: Counter[str] = field(default_factory=Counter)
+    counts_at_recovery: Counter[str] = field(default_factory=Counter)
     unspent_tokens: int = 0
 
     async def run(self) -> None:
@@ -61,16 +61,16 @@
             await until(4.0)
             tasks.start_soon(self._stop_in_turn)
             await until(4.5)
-            self.fleet.cut_off_from_store(True)
+            self.fleet.set_cut_off_from_store(True)
             await until(12.5)
-            self.fleet.cut_off_from_store(False)
+            self.fleet.set_cut_off_from_store(False)
             await until(18.0)
             self.fleet.prepaid_tokens += self.fleet.prepaid_tokens // 4
             await until(34.0)
             for address in list(self.fleet.instances):
                 tasks.start_soon(self._kill, address)
             await until(34.8 + _RECOVERY_S)
-            self.before = Counter(self.fleet.counts)
+            self.counts_at_recovery = Counter(self.fleet.counts)
             self.unspent_tokens = self.fleet.prepaid_tokens - self.fleet.spent_tokens
 
     async def _stop_in_turn(self) -> None:
@@ -80,7 +80,7 @@
                 await anyio.sleep(1.5)
 
     async def _stop(self, address: str) -> None:
-        await self.fleet.restart(address, down_s=0.7, gives_back=True)
+        await self.fleet.restart(address, down_s=0.7, is_graceful=True)
 
     async def _kill(self, address: str) -> None:
         await self.fleet.restart(address, down_s=0.8)
@@ -90,25 +90,25 @@
     """Return the served share of the payable requests after the recovery."""
     day = _Day(BudgetFleet(3, 2, paid_tokens), seed)
     run_in_virtual_time(day.run)
-    asked = day.fleet.counts["asked"] - day.before["asked"]
-    served = day.fleet.counts["served"] - day.before["served"]
+    asked = day.fleet.counts["asked"] - day.counts_at_recovery["asked"]
+    served = day.fleet.counts["served"] - day.counts_at_recovery["served"]
     return served / min(asked, day.unspent_tokens / _USED_TOKENS)
 
 
 class TestRecovery:
-    def test_stops_in_an_outage_and_a_death_of_all(self) -> None:
+    def test_serves_after_stops_in_an_outage_and_kill_of_all(self) -> None:
         """Demand far exceeds what is paid for."""
-        assert _served_share(_TOO_FEW_PAID_TOKENS, seed=1) >= _LEAST_SERVED_SHARE
+        assert _served_share(_SCARCE_PAID_TOKENS, seed=1) >= _MIN_SERVED_SHARE
 
     @pytest.mark.parametrize("seed", [1, 2, 3, 4])
-    def test_the_same_with_nearly_all_paid_for(self, seed: int) -> None:
+    def test_serves_when_demand_is_nearly_paid_for(self, seed: int) -> None:
         """Demand is about what is paid for.
 
         Without handovers by stopped instances, 0, 10, 36 and 10 % were served.
         """
-        assert _served_share(_ENOUGH_PAID_TOKENS, seed) >= _LEAST_SERVED_SHARE
+        assert _served_share(_AMPLE_PAID_TOKENS, seed) >= _MIN_SERVED_SHARE
 
     @pytest.mark.parametrize("seed", [5, 11, 14, 17, 18])
-    def test_the_same_with_other_callers(self, seed: int) -> None:
+    def test_serves_for_seeds_that_failed(self, seed: int) -> None:
         """Of seeds 1 to 20, these five served too few requests."""
-        assert _served_share(_ENOUGH_PAID_TOKENS, seed) >= _LEAST_SERVED_SHARE
+        assert _served_share(_AMPLE_PAID_TOKENS, seed) >= _MIN_SERVED_SHARE
