--- a/mothstand/testing/histories.py
+++ b/mothstand/testing/histories.py
@@ -157,9 +157,9 @@
                 continue
             consumed_in_epoch = self.reference_fold.epochs[epoch].consumed_tokens(BUDGET)
             if tokens > consumed_in_epoch:
-                raise OverspentError(f"{tokens} spent in epoch {epoch}, {consumed_in_epoch} known")
+                raise OverspentError(f"{tokens} spent in epoch {epoch}, {consumed_in_epoch} counted as consumed")
         if spent_retired > retired:
-            raise OverspentError(f"{spent_retired} spent in old epochs, {retired} known")
+            raise OverspentError(f"{spent_retired} spent in old epochs, {retired} counted as consumed")
 
     def _actions(self) -> tuple[Callable[[str], None], ...]:
         return (
@@ -309,7 +309,7 @@
         tokens = self.rng.randint(1, 20)
         self.processes[name].node.agent.return_tokens(BUDGET, tokens, lane)
 
-    # -- end ---------------------------------------------------------------------------------
+    # -- exhaustion --------------------------------------------------------------------------
 
     def exhaust(self) -> None:
         """Spend all tokens while all processes are in touch, which exposes latent faults.
--- a/mothstand/testing/memory_store.py
+++ b/mothstand/testing/memory_store.py
@@ -94,7 +94,7 @@
             If some of them are no longer retained.
         """
         if from_offset < self._first_offsets[stream]:
-            raise StoreTrimmedError(f"{stream}: {from_offset} is not kept")
+            raise StoreTrimmedError(f"{stream}: offset {from_offset} is not retained")
         stored = self._records[stream]
         return StreamPage(tuple(stored[from_offset:]), max(from_offset, len(stored)))
 
--- a/mothstand/testing/orders.py
+++ b/mothstand/testing/orders.py
@@ -82,7 +82,7 @@
         self.delayed_orders: list[Order] = []
 
     def run(self, steps: int) -> None:
-        """Run random steps with disruptions, then rounds without, until the engines are stable."""
+        """Run random steps with disruptions, then rounds without disruptions."""
         for _ in range(steps):
             self.now_s += self.rng.choice((0.1, 0.5, 2.0))
             if self.rng.random() < 0.05:
--- a/mothstand/tests/test_recovery.py
+++ b/mothstand/tests/test_recovery.py
@@ -3,8 +3,8 @@
 Guards against unspent tokens that are lost with stopped instances. An instance that stops while it
 cannot reach the store cannot lower its claims; once it may have spent them past their windows, the
 unspent rest cannot be proven. It now hands its tokens over to a peer: of 3,250,000 paid tokens,
-466,000 were never consumed without the handover and 179,000 with it. The rest is claimed by holders
-stopped before they could spend their whole claims, and lies in the windows of killed ones.
+466,000 were never consumed without the handover and 179,000 with it. These are in the claims of
+holders that stopped before they could spend all of them, and in the windows of killed processes.
 
 In the simulated day all instances lose the store and are restarted one after the other, the store
 becomes reachable again, the budget is topped up, and later all processes are killed at once.
