--- a/mothstand/testing/crash_fleet.py
+++ b/mothstand/testing/crash_fleet.py
@@ -70,9 +70,9 @@
             self._engine_names[address] = name
         for number in range(self.instances):
             self.fleet.start_instance(f"i{number}")
-        anyio.run(self._play, duration_s, crash_gap_s, kill_at_s)
+        anyio.run(self._simulate, duration_s, crash_gap_s, kill_at_s)
 
-    async def _play(self, duration_s: float, crash_gap_s: float, kill_at_s: float) -> None:
+    async def _simulate(self, duration_s: float, crash_gap_s: float, kill_at_s: float) -> None:
         async with (
             httpx.AsyncClient(
                 timeout=6.0, limits=httpx.Limits(max_keepalive_connections=0)
--- a/mothstand/testing/crash_histories.py
+++ b/mothstand/testing/crash_histories.py
@@ -330,7 +330,7 @@
     def run(self) -> CrashResult:
         """Simulate the history in virtual time."""
         self._result.outcomes = {k: Counter() for k in ("crashing", "popular", "distinct")}
-        run_in_virtual_time(self._play, order=self.order)
+        run_in_virtual_time(self._simulate, order=self.order)
         return self._result
 
     def _make_rng(self, *what: object) -> random.Random:
@@ -397,7 +397,7 @@
         value = json.dumps(registration(_SERVICE, address, born_ms=self._starts)).encode()
         self._store.put(UPSTREAMS_STREAM, engine.upstream_id, value)
 
-    async def _play(self) -> None:
+    async def _simulate(self) -> None:
         async with anyio.create_task_group() as tasks:
             self._tasks = tasks
             for number in range(self.engine_count):
--- a/mothstand/testing/histories.py
+++ b/mothstand/testing/histories.py
@@ -157,9 +157,13 @@
                 continue
             consumed_in_epoch = self.reference_fold.epochs[epoch].consumed_tokens(BUDGET)
             if tokens > consumed_in_epoch:
-                raise OverspentError(f"{tokens} spent in epoch {epoch}, {consumed_in_epoch} counted as consumed")
+                raise OverspentError(
+                    f"{tokens} spent in epoch {epoch}, {consumed_in_epoch} counted as consumed"
+                )
         if spent_retired > retired:
-            raise OverspentError(f"{spent_retired} spent in old epochs, {retired} counted as consumed")
+            raise OverspentError(
+                f"{spent_retired} spent in old epochs, {retired} counted as consumed"
+            )
 
     def _actions(self) -> tuple[Callable[[str], None], ...]:
         return (
--- a/mothstand/testing/retry_histories.py
+++ b/mothstand/testing/retry_histories.py
@@ -176,14 +176,14 @@
     def run(self) -> CountedWindow:
         """Simulate the history in virtual time."""
         count = ArrivalCount(self.settings)
-        run_in_virtual_time(lambda: self._play(count))
+        run_in_virtual_time(lambda: self._simulate(count))
         return count.worst_window()
 
     def _make_rng(self, *what: object) -> random.Random:
         """Return a separate generator, so that draws for other purposes do not affect it."""
         return random.Random(f"{self.seed} {what}")
 
-    async def _play(self, count: ArrivalCount) -> None:
+    async def _simulate(self, count: ArrivalCount) -> None:
         rng = self._make_rng("start")
         names = [f"i{number}" for number in range(self.instances)]
         async with anyio.create_task_group() as tasks:
--- a/mothstand/tests/test_crash_histories.py
+++ b/mothstand/tests/test_crash_histories.py
@@ -22,7 +22,7 @@
 _TOLERANCE = 0.05
 
 
-def play(
+def run_histories(
     disruptions: CrashDisruption,
     fault: InjectedFault = InjectedFault.NONE,
     **options: Any,
@@ -47,7 +47,7 @@
         self, disruptions: CrashDisruption
     ) -> None:
         # Guards against crashes that are forgotten, not reported, or blamed on other requests.
-        results = play(disruptions)
+        results = run_histories(disruptions)
         assert max_late_arrivals(results) <= ALLOWED_ARRIVALS
         assert outcome_share(results, "distinct", "quarantined") == 0.0
         popular = outcome_share(results, "popular", "answered")
@@ -56,14 +56,14 @@
     @pytest.mark.parametrize("disruptions", [CrashDisruption.NONE, ALL_CRASH_DISRUPTIONS], ids=str)
     def test_arrivals_stay_bounded_when_callers_repeat(self, disruptions: CrashDisruption) -> None:
         # Guards against quick repeats that each reach two upstreams.
-        results = play(disruptions, repeats=3)
+        results = run_histories(disruptions, repeats=3)
         assert max_late_arrivals(results) <= ALLOWED_ARRIVALS
 
     @pytest.mark.parametrize("repeats", [0, 3])
     def test_unrelated_crashes_cause_no_refusals(self, repeats: int) -> None:
         # Guards against refusing requests because upstreams crashed for another cause.
         with_quarantine, without_quarantine = (
-            play(CrashDisruption.ENGINES_CRASH, fault, has_crashing=False, repeats=repeats)
+            run_histories(CrashDisruption.ENGINES_CRASH, fault, has_crashing=False, repeats=repeats)
             for fault in (InjectedFault.NONE, InjectedFault.QUARANTINES_NOTHING)
         )
         for kind in ("popular", "distinct"):
@@ -73,25 +73,28 @@
     @pytest.mark.parametrize("order", [14, 18, 63])
     def test_popular_request_is_probed_when_all_instances_restart(self, order: int) -> None:
         # Guards against probes that no instance sends, and waits that start anew at each restart.
-        results = play(ALL_CRASH_DISRUPTIONS, order=order)
+        results = run_histories(ALL_CRASH_DISRUPTIONS, order=order)
         assert max_late_arrivals(results) <= ALLOWED_ARRIVALS
         popular = outcome_share(results, "popular", "answered")
         assert popular >= outcome_share(results, "distinct", "answered") - _TOLERANCE
 
     def test_arrivals_stay_bounded_in_a_larger_fleet(self) -> None:
-        assert max_late_arrivals(play(ALL_CRASH_DISRUPTIONS, instances=18)) <= ALLOWED_ARRIVALS
+        assert (
+            max_late_arrivals(run_histories(ALL_CRASH_DISRUPTIONS, instances=18))
+            <= ALLOWED_ARRIVALS
+        )
 
     def test_arrivals_stay_bounded_when_most_appends_fail(self) -> None:
         # Guards against a crash that is reported only once, in an append that fails.
-        results = play(CrashDisruption.STORE_AWAY, instances=18, failing_appends=0.9)
+        results = run_histories(CrashDisruption.STORE_AWAY, instances=18, failing_appends=0.9)
         assert max_late_arrivals(results) <= ALLOWED_ARRIVALS
 
     def test_broken_connections_to_live_upstreams_are_not_crashes(self) -> None:
-        results = play(CrashDisruption.RESETS, has_crashing=False, reset_share=0.5)
+        results = run_histories(CrashDisruption.RESETS, has_crashing=False, reset_share=0.5)
         assert outcome_share(results, "popular", "quarantined") == 0.0
 
     def test_injected_faults_are_found(self) -> None:
-        isolated = play(CrashDisruption.NONE, InjectedFault.IGNORES_PEERS, instances=18)
+        isolated = run_histories(CrashDisruption.NONE, InjectedFault.IGNORES_PEERS, instances=18)
         assert max_late_arrivals(isolated) > ALLOWED_ARRIVALS
         forgetful = (
             CrashHistory(
@@ -104,10 +107,10 @@
             for seed in range(24)
         )
         assert any(history.run().late_arrivals > ALLOWED_ARRIVALS for history in forgetful)
-        never_clearing = play(CrashDisruption.ENGINES_CRASH, InjectedFault.NEVER_CLEARS)
+        never_clearing = run_histories(CrashDisruption.ENGINES_CRASH, InjectedFault.NEVER_CLEARS)
         served = outcome_share(never_clearing, "distinct", "answered")
         assert outcome_share(never_clearing, "popular", "answered") < served - _TOLERANCE
-        counting_breaks = play(
+        counting_breaks = run_histories(
             CrashDisruption.RESETS,
             InjectedFault.COUNTS_BREAKS_AS_CRASHES,
             has_crashing=False,
