--- a/mothstand/tests/test_checker.py
+++ b/mothstand/tests/test_checker.py
@@ -1,4 +1,4 @@
-"""The history checker finds each violation that is planted."""
+"""Tests that the history checker finds each kind of violation."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
         assert find_violations(CLEAN) == []
 
     @pytest.mark.parametrize(
-        ("history", "said"),
+        ("history", "expected"),
         [
             (replace(CLEAN, paid_tokens=5), "billed 6 of 5"),
             (replace(CLEAN, bill_lines=(BILL, BILL)), "billed 2 times"),
@@ -48,5 +48,5 @@
             ),
         ],
     )
-    def test_violation_is_found(self, history: RunHistory, said: str) -> None:
-        assert any(said in sentence for sentence in find_violations(history))
+    def test_violation_is_found(self, history: RunHistory, expected: str) -> None:
+        assert any(expected in sentence for sentence in find_violations(history))
--- a/mothstand/tests/test_crashing_request.py
+++ b/mothstand/tests/test_crashing_request.py
@@ -1,4 +1,4 @@
-"""A request that ends each upstream that runs it, before instances as real processes."""
+"""Tests the quarantine of a request that crashes upstreams, with real processes."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     def test_crashing_request_is_quarantined_at_all_instances(
         self, tmp_path: Path, seed: int
     ) -> None:
-        # Guards against a request that ends upstream after upstream, sent again to other instances.
+        # Guards against a request that crashes further upstreams when repeated at other instances.
         with GatewayFleet(tmp_path) as fleet:
             crash_fleet = CrashFleet(fleet, seed)
             crash_fleet.run(duration_s=12.0, crash_gap_s=0.5, kill_at_s=5.0)
--- a/mothstand/tests/test_retry_histories.py
+++ b/mothstand/tests/test_retry_histories.py
@@ -1,4 +1,4 @@
-"""The fleet's retry budget holds in each window, whatever its instances believe of one another."""
+"""Tests that the fleet keeps its retry budget in each window, with any membership view."""
 
 from __future__ import annotations
 
@@ -17,25 +17,25 @@
 
 class TestRetryHistories:
     def test_budget_holds_when_load_moves_between_instances(self) -> None:
-        # Guards against retries paid for by requests that the fleet's window does not have.
+        # Guards against retries allowed by requests that lie outside the fleet's window.
         assert (
             seeds_exceeding_budget(Disruption.JUMPS) + seeds_exceeding_budget(Disruption.NONE) == []
         )
 
     def test_budget_holds_when_instances_restart_repeatedly(self) -> None:
-        # Guards against a start that has its part of the burst anew within the same window.
+        # Guards against a restarted instance that uses its share of the burst again in one window.
         assert seeds_exceeding_budget(Disruption.KILLS) == []
 
     def test_budget_holds_when_store_is_unreachable(self) -> None:
-        # Guards against an instance that takes itself for the whole fleet.
+        # Guards against an instance that uses the whole burst because it knows no other instance.
         assert seeds_exceeding_budget(Disruption.STORE_AWAY) == []
 
     def test_budget_holds_when_instances_are_added(self) -> None:
-        # Guards against parts of the burst that newcomers take before others give them up.
+        # Guards against new instances that use a share of the burst before the others release it.
         assert seeds_exceeding_budget(Disruption.ADDED) == []
 
     def test_budget_holds_when_processes_freeze(self) -> None:
-        # Guards against requests that count as sent when a process woke and read them.
+        # Guards against counting a request as sent when a frozen process resumed and read it.
         assert seeds_exceeding_budget(Disruption.FREEZES) == []
 
     @pytest.mark.parametrize("instances", [6, 18])
@@ -43,7 +43,7 @@
         assert seeds_exceeding_budget(ALL_DISRUPTIONS, instances=instances) == []
 
     @pytest.mark.parametrize(
-        ("plant", "troubles"),
+        ("fault", "disruptions"),
         [
             (InjectedFault.COUNTS_ONE_WINDOW, Disruption.NONE),
             (InjectedFault.FORGETS_RETRIES, Disruption.KILLS),
@@ -52,6 +52,6 @@
             (InjectedFault.USES_SHARE_AT_ONCE, Disruption.STORE_AWAY | Disruption.ADDED),
         ],
     )
-    def test_injected_fault_is_found(self, plant: InjectedFault, troubles: Disruption) -> None:
-        histories = (RetryHistory(seed, troubles, plant) for seed in range(24))
+    def test_injected_fault_is_found(self, fault: InjectedFault, disruptions: Disruption) -> None:
+        histories = (RetryHistory(seed, disruptions, fault) for seed in range(24))
         assert any(history.run().exceeds_budget for history in histories)
