--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Benchmarks of mothstand, each beside its baseline in the same run."""
+"""Benchmarks of mothstand; each compares with a baseline in the same run."""
--- a/benchmarks/baseline.py
+++ b/benchmarks/baseline.py
@@ -1,4 +1,4 @@
-"""The fixed baseline: a bare pass-through of hypercorn and httpx, with no decision at all.
+"""Fixed baseline: a bare pass-through of hypercorn and httpx that takes no decisions.
 
 Run as ``python -m benchmarks.baseline --address IP:PORT --upstream IP:PORT``.
 """
@@ -17,7 +17,7 @@
 
 
 class PassThrough:
-    """Sends each request on and its answer back."""
+    """Forwards each request to the upstream and returns its answer."""
 
     def __init__(self, upstream: str) -> None:
         self._http = httpx.AsyncClient(
@@ -28,7 +28,7 @@
         )
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Serve one request."""
+        """Serve one ASGI connection."""
         if scope["type"] != "http":
             await _lifespan(receive, send)
             return
--- a/benchmarks/claims.py
+++ b/benchmarks/claims.py
@@ -1,7 +1,7 @@
-"""What claims and loans cost by the fleet's size, in virtual time.
+"""Cost of claims and loans by fleet size, in virtual time.
 
-Run as ``python -m benchmarks.claims``. Four data centres, one budget with plenty of tokens, 1.5
-requests a second for each instance, 10 s; calls take the time that they take on the platform.
+Run as ``python -m benchmarks.claims``. Four data centres share one budget that never runs out; each
+instance gets 1.5 requests a second for 10 s. Calls take as long as on the platform.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 def main() -> None:
-    """Print a row for each size."""
+    """Print a row for each fleet size."""
     logging.set_verbosity(logging.FATAL)
     print("instances  served  store calls/s  records read/s and instance  loans/request  run s")
     for size in _SIZES:
--- a/benchmarks/engine_model.py
+++ b/benchmarks/engine_model.py
@@ -1,8 +1,8 @@
-"""A small model of the model engines, in fake time: batching, prefill, a prefix cache.
+"""Simulated inference engine in fake time, with batching, prefill and a prefix cache.
 
-It is no claim about a certain engine. What it keeps of all of them is what routing can win or lose:
-a prompt whose prefix is cached costs less prefill, the cache is limited, prefill goes in order, and
-a fuller batch decodes more slowly for each of its requests.
+It models no particular engine, only what routing can affect: a prompt whose prefix is cached needs
+less prefill, the cache is limited, prefill runs in order of arrival, and each request decodes more
+slowly in a fuller batch.
 """
 
 from __future__ import annotations
@@ -10,22 +10,22 @@
 from collections import OrderedDict, deque
 from dataclasses import dataclass, field
 
-#: Seconds of one step.
+#: Simulated time of one step.
 STEP_S = 0.01
 
 
 @dataclass(slots=True)
 class Work:
-    """One request at an engine.
+    """A request at an engine and its progress.
 
     Parameters
     ----------
     prefix
-        Name of the prompt's prefix, which other requests share.
+        Name of the prompt's prefix, which requests can share.
     prefix_tokens, own_tokens
-        Length of the shared part of the prompt, and of the rest.
+        Length of the prefix, and of the rest of the prompt.
     answer_tokens
-        How many tokens it generates.
+        Length of the answer.
     """
 
     prefix: str
@@ -41,18 +41,18 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineSize:
-    """What an engine can do.
+    """Capacity of an engine.
 
     Parameters
     ----------
     slots
-        Most requests in its batch; more wait.
+        Maximum number of requests in the batch; others wait.
     prefill_tokens_per_s, decode_tokens_per_s
-        Of the whole engine.
-    one_tokens_per_s
-        Most that one request decodes alone.
+        Throughput of the whole engine.
+    request_tokens_per_s
+        Maximum decoding rate of one request.
     cache_tokens
-        Prefixes kept, the least recently used go first.
+        Size of the prefix cache; the least recently used prefixes are evicted first.
     """
 
     slots: int = 16
@@ -64,7 +64,7 @@
 
 @dataclass(slots=True)
 class Engine:
-    """One engine."""
+    """An engine: its queue, batch and prefix cache."""
 
     size: EngineSize = field(default_factory=EngineSize)
     waiting: deque[Work] = field(default_factory=deque)
@@ -73,15 +73,15 @@
 
     @property
     def load(self) -> int:
-        """Requests that run or wait."""
+        """Number of requests that run or wait."""
         return len(self.waiting) + len(self.batch)
 
     def add(self, work: Work) -> None:
-        """Take a request."""
+        """Queue a request."""
         self.waiting.append(work)
 
     def step(self, now_s: float) -> list[Work]:
-        """Work for `STEP_S` and return what has ended."""
+        """Advance by `STEP_S` and return the requests that completed."""
         while self.waiting and len(self.batch) < self.size.slots:
             self._admit(self.waiting.popleft())
         self._prefill()
--- a/benchmarks/escrow.py
+++ b/benchmarks/escrow.py
@@ -1,9 +1,9 @@
 """Escrow policy under failure: overspend, false refusals, stranded tokens, appends.
 
 Run ``python -m benchmarks.escrow`` for the table at today's sizes, with ``--user`` for the other
-user and ``--scale 100`` for a hundred times the load. Every row runs the ledger, the same without
-witnesses ("write-off") and an even split, on the same arrivals. Counts only, in fake time: the same
-every run.
+user and ``--scale 100`` for a hundred times the load. Each scenario runs the ledger, the ledger
+without witnesses ("write-off") and an even split, on the same arrivals. It runs in fake time and
+prints only counts, which are the same in every run.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 AFTER_S = 120.0
 HOUR_S = 3600.0
 
-#: Callers' demand of the two users, as one instance's share of their runners can carry it.
+#: Demand of each user's callers, scaled to what one instance's share of the runners can serve.
 USERS = {
     "kallhanvisa": Demand(requests_per_s=30.0, budgets=10),
     "doto": Demand(requests_per_s=12.0, budgets=10),
@@ -42,12 +42,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """One failure: a cut is one from the platform, "alone" one from the other data centres too.
+    """A failure to simulate.
+
+    A "cut" separates a data centre from the platform, "alone" from the other data centres too.
 
     Parameters
     ----------
     budget_hours
-        How many hours of demand each budget covers; small ones end within the run.
+        Hours of demand that each budget covers; a small one is used up within the run.
     """
 
     name: str
@@ -110,7 +112,10 @@
 
 
 def paid_for(demand: Demand, hours: float) -> dict[BudgetName, int]:
-    """Return budgets that cover `hours` of the demand, the larger ones more."""
+    """Return the paid tokens of budgets that together cover `hours` of the demand.
+
+    Shares fall off as 1/rank, like those of the arrivals.
+    """
     weights = [1 / rank for rank in range(1, demand.budgets + 1)]
     total = demand.requests_per_s * demand.used_tokens * hours * HOUR_S
     return {
@@ -120,7 +125,7 @@
 
 
 def run_one(kind: str, scenario: Scenario, demand: Demand, policy: EscrowPolicy) -> Result:
-    """Run one scenario on one way to share budgets.
+    """Run a scenario on one kind of ledger.
 
     Parameters
     ----------
@@ -147,7 +152,7 @@
 
 
 def rows(user: str, scale: float, skew: float, only: str = "") -> list[tuple[str, str, Result]]:
-    """Return scenario, kind and result of every run of a user."""
+    """Return the scenario, the kind of ledger and the result of each run for a user."""
     base = USERS[user]
     demand = Demand(
         requests_per_s=base.requests_per_s * scale,
@@ -171,9 +176,9 @@
     Parameters
     ----------
     only
-        Name of a scenario.
+        Name of the only scenario to run.
     policy
-        Settings of the escrow policy to change.
+        Fields of the escrow policy to override.
     """
     logging.set_verbosity(logging.FATAL)
     POLICIES[user] = replace(POLICIES[user], **policy)
--- a/benchmarks/fleet_ledger.py
+++ b/benchmarks/fleet_ledger.py
@@ -1,4 +1,4 @@
-"""The product's ledger, and the even split as a baseline, as `world.Ledger`."""
+"""Implementations of `world.Ledger`: mothstand's ledger and an even split as the baseline."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True)
 class _Process:
-    """One instance of the fleet: its nodes, and what it believes."""
+    """A simulated instance: its shard nodes and its membership view."""
 
     me: Member
     place: DataCentre
@@ -44,10 +44,10 @@
 
 
 class _LoneBeliefs(FakeMembership):
-    """Sees the others alive but takes none for a witness."""
+    """Membership view in which a leaseholder finds no other instance for a witness."""
 
     def local_alive(self, now_s: float) -> dict[str, Member]:
-        """Return this one, and the others only while this one is not the first."""
+        """Return only the instance that is first by name."""
         alive = super().local_alive(now_s)
         first = min(alive)
         return (
@@ -58,12 +58,12 @@
 
 
 class FleetLedger(Ledger):
-    """The product's ledger.
+    """Mothstand's ledger with simulated instances, peers and logs.
 
     Parameters
     ----------
     witnessed
-        Whether epochs get witnesses; without, a kill writes the grant off.
+        Whether epochs have witnesses; without a witness, a kill writes off the grant.
     """
 
     def __init__(
@@ -95,7 +95,7 @@
         }
 
     def step(self, now_s: float) -> None:
-        """Read, act and append, for every live instance."""
+        """Read the log, act and append, for each live instance."""
         self._now_s = now_s
         self._replace_dead(now_s)
         self._believe(now_s)
@@ -114,7 +114,7 @@
                 self._append(process)
 
     def reserve(self, request: Request, now_s: float) -> bool:
-        """Reserve at the data centre's leaseholder, or its promoted witness."""
+        """Reserve at the local leaseholder or promoted witness, else at a remote leaseholder."""
         shard = self._shard(request.budget)
         for process in self._live(request.place):
             node = process.nodes[shard]
@@ -129,7 +129,7 @@
         return False
 
     def settle(self, request: Request) -> None:
-        """Settle at whichever side takes it."""
+        """Settle at the first instance that accepts the ticket."""
         ticket = request.handle
         assert isinstance(ticket, Ticket)
         for process in self._live(request.held_at or request.place):
@@ -139,7 +139,7 @@
                 return
 
     def kill(self, place: DataCentre, who: str) -> None:
-        """Kill the instance that leads (or witnesses) the most shards, or both."""
+        """Kill the instance that leads the most shards, the other one, or both."""
         live = self._live(place)
 
         def led(process: _Process) -> int:
@@ -151,7 +151,7 @@
             process.dead_at_s = self._now_s
 
     def cut(self, place: DataCentre, *, off: bool, alone: bool = False) -> None:
-        """Cut a data centre off from the platform, or join it again."""
+        """Cut a data centre off from the platform, or reconnect it."""
         if off:
             self._cut[place] = self._now_s
             if alone:
@@ -161,14 +161,14 @@
             self._alone.discard(place)
 
     def top_up(self, tokens: dict[BudgetName, int]) -> None:
-        """Raise the paid totals of the configuration."""
+        """Add to the paid totals of the configuration."""
         for name, more in tokens.items():
             shard = self._shard(name)
-            # A new mapping: that is how a node sees that its totals have changed.
+            # A node detects changed totals by the identity of the mapping.
             self._paid[shard] = {**self._paid[shard], name: self._paid[shard][name] + more}
 
     def stranded_tokens(self) -> int:
-        """Return what superseded epochs hold back, as the log tells it."""
+        """Return the tokens stranded in superseded epochs, by the log."""
         process = next(p for p in self._live() if p.place not in self._cut)
         return sum(
             process.nodes[self._shard(name)].state.fold.stranded_tokens(name)
@@ -288,7 +288,7 @@
         return True
 
     def _reserve_elsewhere(self, node: ShardNode, request: Request) -> bool:
-        """Ask other data centres' leaseholders, where the log has less than is needed."""
+        """Reserve at a remote leaseholder if the log has fewer tokens than needed."""
         call = _call(node, request)
         if request.place in self._alone or not node.reserver.log_has_less(call):
             return False
@@ -303,14 +303,14 @@
                 self.result.reserved_elsewhere += 1
                 return True
             if not asked.reserver.log_has_less(call):
-                # It asks the log on behalf of this request, which is back in the next step.
+                # The remote holder asks for a grant; the request is retried in the next step.
                 self._ask(asked, request)
                 request.waits_elsewhere = True
                 return False
         return False
 
     def _wait(self, node: ShardNode, request: Request) -> bool:
-        """Wait for escrow, unless the ledger says that there is none to come; return False."""
+        """Ask for a grant, or end the wait if the ledger rules one out; return False."""
         if request.waits_elsewhere:
             request.waits_elsewhere = False
             return False
@@ -343,9 +343,9 @@
 
 
 class EvenSplitLedger(Ledger):
-    """Baseline: each data centre gets an equal share of every budget, once and for all.
+    """Baseline that gives each data centre a fixed, equal share of each budget.
 
-    The share lives in one instance's memory; when that dies, it is written off.
+    One instance holds the share in memory; the share is written off when that instance dies.
     """
 
     def __init__(self, paid: dict[BudgetName, int]) -> None:
@@ -357,7 +357,7 @@
         self._stranded = 0
 
     def step(self, now_s: float) -> None:
-        """Do nothing: nothing moves."""
+        """Do nothing, since shares are fixed."""
 
     def reserve(self, request: Request, now_s: float) -> bool:
         """Reserve from the data centre's share."""
@@ -369,13 +369,13 @@
         return True
 
     def settle(self, request: Request) -> None:
-        """Give back what was not used."""
+        """Return the unused tokens to the share."""
         key = (request.place, request.budget)
         if self._left[key] >= 0 and request.handle == key:
             self._left[key] += request.bound_tokens - request.used_tokens
 
     def kill(self, place: DataCentre, who: str) -> None:
-        """Write the data centre's shares off when their holder dies."""
+        """Write off the data centre's shares when their holder dies."""
         if who == "witness":
             return
         for key, left in self._left.items():
@@ -384,14 +384,14 @@
                 self._left[key] = -1
 
     def cut(self, place: DataCentre, *, off: bool, alone: bool = False) -> None:
-        """Do nothing: a share needs no platform."""
+        """Do nothing, since shares don't depend on the platform."""
 
     def top_up(self, tokens: dict[BudgetName, int]) -> None:
-        """Add an equal share in each data centre that still holds its own."""
+        """Add an equal share in each data centre whose share is not written off."""
         for (place, name), left in self._left.items():
             if left >= 0:
                 self._left[place, name] = left + tokens[name] // len(PLACES)
 
     def stranded_tokens(self) -> int:
-        """Return what was written off."""
+        """Return the tokens that were written off."""
         return self._stranded
--- a/benchmarks/forwarding.py
+++ b/benchmarks/forwarding.py
@@ -1,7 +1,7 @@
-"""Forwarding beside the bare pass-through: requests/s, added latency, processor time a chunk.
+"""Forwarding compared with the bare pass-through: requests/s, latency, processor time per chunk.
 
 Run ``python -m benchmarks.forwarding``. The engine stand-in, the baseline, the instance and the
-callers are separate processes on loopback; all figures are of one run, so only ratios mean much.
+callers are separate processes on loopback. Compare figures only by their ratios within one run.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Figures:
-    """What callers saw through one target."""
+    """Throughput, latency and failures that callers measured at one target."""
 
     requests_per_s: float
     p50_ms: float
@@ -88,7 +88,7 @@
 
 
 def drive(url: str, callers: int, requests: int, *, stream: bool) -> Figures:
-    """Call a target from a process of its own."""
+    """Send requests to a target from a separate process."""
     context = multiprocessing.get_context("spawn")
     queue = context.Queue()
     child = context.Process(target=_in_child, args=(url, callers, requests, stream, queue))
@@ -116,12 +116,12 @@
 def measure(
     requests: int = 600, streams: int = 120, *, witnessed: bool = False
 ) -> list[tuple[str, str, Figures, float]]:
-    """Return target, load, figures and processor seconds of every run.
+    """Return the target, load, figures and processor seconds of each run.
 
     Parameters
     ----------
     witnessed
-        Whether a second instance is there, so that each reservation waits for its witness.
+        Whether to start a second instance, so that each reservation waits for its witness.
     """
     rows = []
     with tempfile.TemporaryDirectory() as folder, Fleet(Path(folder)) as fleet:
@@ -152,7 +152,7 @@
         }
         for load, (callers, count, stream) in loads.items():
             if load.startswith("paced"):
-                # Tokens that come one by one cannot share a read or a write.
+                # Tokens that arrive one at a time cannot share a read or a write.
                 fleet.set_faults("llm-a", mode="ok", token_delay_s=0.005)
             for name, target in targets.items():
                 before = processor_s(target.process.pid)
@@ -162,7 +162,7 @@
 
 
 def main(requests: int = 600, streams: int = 120, witnessed: bool = False) -> None:
-    """Print the table."""
+    """Print a row for each load and target."""
     rows = measure(requests, streams, witnessed=witnessed)
     print(
         f"{'load':26} {'target':13} {'req/s':>7} {'p50 ms':>8} {'p95 ms':>8} {'us/chunk':>9}"
--- a/benchmarks/in_force.py
+++ b/benchmarks/in_force.py
@@ -1,6 +1,6 @@
 """Time from publishing a change until it is in force on every instance.
 
-Run ``python -m benchmarks.in_force``: three data centres with two instances each, and more of them.
+Run ``python -m benchmarks.in_force``: three data centres with 2, 4 and 8 instances each.
 """
 
 from __future__ import annotations
@@ -49,7 +49,7 @@
 
 
 def measure(per_place: int, changes: int) -> list[float]:
-    """Return the seconds of each change."""
+    """Return the seconds that each change took to be in force everywhere."""
     with tempfile.TemporaryDirectory() as temporary, Fleet(Path(temporary)) as fleet:
         fleet.start_platform()
         names = [f"sto-{place}-{i}" for place in "abc" for i in range(per_place)]
@@ -63,7 +63,7 @@
 
 
 def main(changes: int = 40) -> None:
-    """Print a line for each size of the fleet."""
+    """Print a line for each fleet size."""
     for per_place in (2, 4, 8):
         cuts = quantiles([1000 * s for s in measure(per_place, changes)], n=100)
         print(f"{3 * per_place} instances: p50 {cuts[49]:.0f} ms, p99 {cuts[98]:.0f} ms")
--- a/benchmarks/orders.py
+++ b/benchmarks/orders.py
@@ -1,7 +1,8 @@
-"""A new version of a model: how long until every engine of a data centre has it, with what orders.
+"""Rollout of a new model version to a data centre's engines: its duration, orders and polls.
 
-Run ``python -m benchmarks.orders``. Fake time; a load takes 30 s, instances look every 2 s. In the
-second half of the rows the first that orders is stopped for a minute, right after its decision.
+Run ``python -m benchmarks.orders``. It runs in fake time; a load takes 30 s and instances poll
+every 2 s. In the second half of the rows, the first instance that decides on an order is paused for
+a minute before it sends the order.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Size:
-    """Of a data centre: engines, instances, and how many engines may load at once."""
+    """Engines and instances of a data centre, and the limit of concurrent loads."""
 
     engines: int
     instances: int
@@ -30,7 +31,7 @@
 
 @dataclass(slots=True)
 class Figures:
-    """Of one change of version."""
+    """Duration, orders and polls of one version change."""
 
     seconds: float = 0.0
     orders: int = 0
@@ -39,7 +40,7 @@
 
 
 class Change:
-    """One change of version."""
+    """Simulates one version change in a data centre."""
 
     def __init__(self, size: Size, *, pause: bool) -> None:
         kinds = (OrderCheck.FENCED, OrderCheck.UNFENCED)
@@ -61,7 +62,7 @@
         self.figures = Figures()
 
     def run(self) -> Figures:
-        """Run until all engines have the new version."""
+        """Run until all engines serve the new version."""
         now_s = 0.0
         while now_s < 60.0:
             self._round(self._old, now_s)
@@ -97,7 +98,7 @@
                 continue
             self.figures.orders += 1
             if self._pause and not self._paused:
-                # Stopped between its check and the send: the order arrives a minute late.
+                # Paused between its check and the send, so the order arrives a minute late.
                 self._paused = name
                 self._held_up.append(order)
                 return
@@ -115,7 +116,7 @@
 
 
 def main() -> None:
-    """Print a row for each size, without and with a pause."""
+    """Print a row for each size, first without and then with a paused instance."""
     for pause in (False, True):
         for size in SIZES:
             figures = Change(size, pause=pause).run()
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -1,7 +1,7 @@
-"""Overload: goodput, first tokens of high priority, and how fast refusals come.
+"""Overload: goodput, time to first token at high priority, and latency of refusals.
 
-Run ``python -m benchmarks.overload``. One engine of 8 slots behind one instance; callers come at a
-fixed rate, whatever becomes of the ones before, a quarter of them with high priority.
+Run ``python -m benchmarks.overload``. One engine of 8 slots serves behind one instance. Requests
+arrive at a fixed rate, however slowly earlier ones are answered; a quarter have high priority.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Seen:
-    """One request; times in seconds."""
+    """Status and latencies of one request."""
 
     high: bool
     status: int
@@ -74,7 +74,7 @@
 
 
 def offer(url: str, rate: float) -> list[Seen]:
-    """Send requests at a rate from a process of its own."""
+    """Send requests at a fixed rate from a separate process."""
     context = multiprocessing.get_context("spawn")
     queue = context.Queue()
     child = context.Process(target=_in_child, args=(url, rate, queue))
@@ -85,12 +85,12 @@
 
 
 def p95_ms(values: list[float]) -> float:
-    """Return the 95th percentile in milliseconds, 0 for too few values."""
+    """Return the 95th percentile in milliseconds of values in seconds; 0 for fewer than two."""
     return 1000 * quantiles(values, n=20)[18] if len(values) > 1 else 0.0
 
 
 def main() -> None:
-    """Print the table."""
+    """Print a row for each multiple of the engine's capacity."""
     capacity = _SLOTS / (_TOKENS * _TOKEN_DELAY_S)
     with tempfile.TemporaryDirectory() as temporary, Fleet(Path(temporary)) as fleet:
         fleet.start_platform()
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -1,9 +1,9 @@
-"""Placement of prompts by many instances, each of which knows only what it sent itself.
+"""Placement of prompts by many instances, each of which knows only its own requests.
 
-Run ``python -m benchmarks.placement``. Fake time, the real `Placement`, one for each instance,
-before the small model of engines. Two kinds of requests: documents, long prompts whose sessions
-share large parts, and questions, short prompts with long answers. Instances are unequally busy,
-as where a platform chooses them by a hash of the caller.
+Run ``python -m benchmarks.placement``. It runs in fake time, with a real `Placement` for each
+instance and simulated engines. There are two kinds of requests: documents, long prompts that share
+large parts within a session, and questions, short prompts with long answers. Load on instances is
+uneven, as on a platform that assigns callers to instances by a hash.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 from .engine_model import STEP_S, Engine, EngineSize, Work
 
-#: Shared leading parts of documents, their sessions' parts, and what is new in each request.
+#: Sizes of the leading parts that documents share, of their sessions' parts, and of requests.
 _STYLES, _STYLE_TOKENS = 4, 2_520
 _SESSIONS, _SESSION_TOKENS = 1_209, 3_780
 _DOCUMENT_TOKENS, _DOCUMENT_ANSWER_TOKENS = 2_890, 52
@@ -35,30 +35,30 @@
     cache_tokens=150_000,
 )
 
-#: Seconds until the first token that count as on time.
+#: A first token after this time counts as late.
 DOCUMENT_OBJECTIVE_S, QUESTION_OBJECTIVE_S = 0.6, 0.3
 
 
-#: One pass over the batch: its fixed time, and the most prompt tokens that are read in it.
+#: Fixed time of a pass over the batch, and the maximum number of prompt tokens read in it.
 _PASS_S = 0.00463
 _CHUNK_TOKENS = 1_024
 
-#: Tokens of an event; the first one is sent when so many are made.
+#: Tokens in an event; an engine sends its first event only when it has generated this number.
 _EVENT_TOKENS = 5
 
 
 @dataclass(slots=True)
 class ChunkedEngine(Engine):
-    """An engine that reads a piece of one prompt in each pass, and makes a token of each answer.
+    """Engine whose passes each read a chunk of one prompt and decode a token of each answer.
 
-    A long prompt so delays the prompts behind it, and the tokens of everything that runs.
+    A long prompt delays the prompts behind it and the tokens of all running requests.
     """
 
     read_tokens: float = 0.0
     _ahead_s: float = 0.0
 
     def step(self, now_s: float) -> list[Work]:
-        """Work for `STEP_S` and return what has ended."""
+        """Advance by `STEP_S` and return the requests that completed."""
         ended: list[Work] = []
         self._ahead_s -= STEP_S
         while self._ahead_s < 0:
@@ -71,7 +71,7 @@
         return ended
 
     def _pass(self, now_s: float, ended: list[Work]) -> float:
-        """Read and make tokens once; return how long it took."""
+        """Run one pass over the batch and return its duration."""
         unread = next((work for work in self.batch if work.prefill_left > 0), None)
         chunk = 0.0 if unread is None else min(_CHUNK_TOKENS, unread.prefill_left)
         for work in self.batch:
@@ -94,7 +94,7 @@
     Parameters
     ----------
     skew
-        Exponent of the instances' shares of the load: 0 for equal ones.
+        Exponent of the instances' shares of the load; 0 for equal shares.
     """
 
     data_centres: int
@@ -117,20 +117,14 @@
 
 @dataclass(slots=True)
 class Outcome:
-    """What callers got.
-
-    Parameters
-    ----------
-    read_tokens
-        Prompt tokens that engines read.
-    """
+    """Counts of requests, by kind, and of the prompt tokens that engines read."""
 
     asked: Counter[str] = field(default_factory=Counter)
     late: Counter[str] = field(default_factory=Counter)
     read_tokens: float = 0.0
 
     def late_share(self, kind: str) -> float:
-        """Return which part of the requests of a kind got its first token late."""
+        """Return the share of requests of a kind whose first token was late."""
         return self.late[kind] / max(1, self.asked[kind])
 
 
@@ -164,7 +158,7 @@
         self.outcome = Outcome()
 
     def play(self) -> Outcome:
-        """Play the load and return what callers got."""
+        """Run the load and return its counts."""
         now_s = 0.0
         next_s = {"document": 0.0, "question": 0.0}
         rates = {"document": self._site.documents_per_s, "question": self._site.questions_per_s}
@@ -200,7 +194,7 @@
             PromptPart(f"request-{self._number}", own),
         )
         total = _STYLE_TOKENS + _SESSION_TOKENS + own
-        # The few leading parts are cached at every engine after a moment.
+        # The style is left out of the work, since every engine soon has the few styles cached.
         work = Work(f"session-{session}", _SESSION_TOKENS, own, _DOCUMENT_ANSWER_TOKENS, now_s)
         return Prompt("m", total, _DOCUMENT_ANSWER_TOKENS, parts), work
 
@@ -234,7 +228,7 @@
 
 
 def main(*, seeds: int = 3, site: str = "") -> None:
-    """Print which part of the requests is late on each site."""
+    """Print the share of late requests at each site."""
     print(f"{'site':14} {'documents late':>15} {'questions late':>15} {'read, Mtokens':>14}")
     for name, played in SITES.items():
         if site and name != site:
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -1,9 +1,9 @@
-"""Time that a data centre takes over a cut from the platform, and over its end.
+"""Recovery time of a data centre that loses its leaseholder while cut off from the platform.
 
-Run ``python -m benchmarks.recovery``. Each round starts two data centres, cuts one of them from the
-platform, kills the leaseholder of a budget in it, and ends the cut. It prints how long the requests
-of the cut data centre went without an answer, from the kill on, and how long after the cut's end
-those that the witness alone could not serve were refused.
+Run ``python -m benchmarks.recovery``. Each round starts two data centres, cuts one off from the
+platform, kills a budget's leaseholder there, and ends the cut. It prints how long after the kill
+requests of that data centre went unanswered, and how long after the end of the cut requests were
+refused that the witness could not serve alone.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 _INSTANCES = ("sto-a-1", "sto-a-2", "sto-b-1", "sto-b-2")
 _SMALL_TOKENS = 2
 
-#: More than the witness may spend alone, and well within the budget.
+#: More than the witness may spend alone, but well within the budget.
 _LARGE_TOKENS = 2_000
 
 
@@ -60,12 +60,12 @@
 
 
 def measure(kept_cut_s: float) -> Recovery:
-    """Return the figures of one round.
+    """Run one round and return its recovery times.
 
     Parameters
     ----------
     kept_cut_s
-        How long the cut has lasted when the leaseholder dies.
+        Time from the cut to the kill of the leaseholder.
     """
     with tempfile.TemporaryDirectory() as temporary, Fleet(Path(temporary)) as fleet:
         _start(fleet, Path(temporary) / "folder")
@@ -79,7 +79,7 @@
 
 
 def main(rounds: int = 6, kept_cut_s: float = 2.5) -> None:
-    """Print each round and the worst."""
+    """Print the times of each round and the maxima."""
     found = [measure(kept_cut_s) for _ in range(rounds)]
     for one in found:
         print(
--- a/benchmarks/routing.py
+++ b/benchmarks/routing.py
@@ -1,8 +1,8 @@
-"""Routing beside random and least-in-flight: prefix hits, first token, load spread, refusals.
+"""Routing compared with random and least-in-flight choice: prefix hits, latency, spread, refusals.
 
-Run ``python -m benchmarks.routing``. Fake time, the real `Router`, one for each instance, before a
-small model of engines. Three data centres with two instances and three engines each, as today.
-Requests share prefixes (style guides) of Zipf's popularity.
+Run ``python -m benchmarks.routing``. It runs in fake time, with a real `Router` for each instance
+and simulated engines: three data centres with two instances and three engines each, as today.
+Requests share prefixes (style guides) whose popularity follows Zipf's law.
 """
 
 from __future__ import annotations
@@ -28,27 +28,27 @@
 _ENGINES_PER_PLACE = 3
 _MODEL = "citation-7b"
 
-#: A load report comes this late, and so many are lost.
+#: Delay of a load report, and the share of reports that are lost.
 _REPORT_LAG_S = 0.2
 _REPORTS_LOST = 0.2
 
-#: The target's longest first token.
+#: Latency target of the first token.
 _IN_TIME_MS = 720.0
 _NOW_UTC = datetime(2026, 1, 1, tzinfo=UTC)
 
 
 @dataclass(frozen=True, slots=True)
 class Demand:
-    """What callers ask for.
+    """Rate and distribution of the requests of all callers.
 
     Parameters
     ----------
     rate_per_s
-        Requests a second of all callers together.
+        Requests a second of all callers.
     skew
-        Share of the first data centre; the others share the rest.
+        First data centre's share of the requests; the others get half of the rest each.
     prefixes
-        Number of shared prefixes.
+        Number of prefixes that requests share.
     """
 
     name: str
@@ -59,7 +59,7 @@
 
 
 class Choice(ABC):
-    """Chooses engines for one instance."""
+    """Interface of what chooses engines for one instance."""
 
     def __init__(self, place: DataCentre, config: FleetConfig, rng: random.Random) -> None:
         self.place = place
@@ -68,26 +68,26 @@
 
     @abstractmethod
     def choose(self, prefix: str, now_s: float) -> str | None:
-        """Return the engine for a request, and count it; None refuses."""
+        """Return the engine for a request and count the request; None refuses it."""
 
     @abstractmethod
     def ended(self, engine: str, took_s: float, now_s: float) -> None:
-        """Count a request's end."""
+        """Note the end of a request."""
 
     def reported(self, engine: str, load: int, now_s: float) -> None:
-        """Take an engine's word on its load, as it came with an answer's first token."""
+        """Note an engine's load report, which came with an answer's first token."""
         del engine, load, now_s
 
 
 class Routed(Choice):
-    """The product's router."""
+    """Mothstand's router without load reports."""
 
     def __init__(self, place: DataCentre, config: FleetConfig, rng: random.Random) -> None:
         super().__init__(place, config, rng)
         self.router = Router(place)
 
     def choose(self, prefix: str, now_s: float) -> str | None:
-        """Ask the router."""
+        """Return the engine that the router chooses."""
         call = RouteCall(serves=_MODEL, prefix=prefix, priority=1)
         chosen = self.router.choose(
             call, self.config, sharers=_INSTANCES_PER_PLACE, now_utc=_NOW_UTC, now_s=now_s
@@ -99,27 +99,27 @@
         return name
 
     def ended(self, engine: str, took_s: float, now_s: float) -> None:
-        """Tell the router."""
+        """Notify the router of a request's end."""
         self.router.note_ended(engine, failed=False, elapsed_s=took_s, now_s=now_s)
 
 
 class RoutedByReports(Routed):
-    """The product's router, with the engines' load reports."""
+    """Mothstand's router with the engines' load reports."""
 
     def reported(self, engine: str, load: int, now_s: float) -> None:
-        """Tell the router."""
+        """Pass a load report to the router."""
         self.router.note_load_report(engine, load, now_s)
 
 
 class _Counted(Choice):
-    """Baselines: own data centre, the same limit of slots, own counts."""
+    """Baseline that uses local engines only, with the router's slot limit and its own counts."""
 
     def __init__(self, place: DataCentre, config: FleetConfig, rng: random.Random) -> None:
         super().__init__(place, config, rng)
         self.in_flight = {u.name: 0 for u in config.upstreams.values() if u.data_centre == place}
 
     def choose(self, prefix: str, now_s: float) -> str | None:
-        """Pick among the engines with a free slot."""
+        """Return one of the engines with a free slot."""
         most = 2 * EngineSize().slots // _INSTANCES_PER_PLACE
         free = [name for name, count in self.in_flight.items() if count < most]
         if not free:
@@ -129,27 +129,27 @@
         return name
 
     def ended(self, engine: str, took_s: float, now_s: float) -> None:
-        """Count the end."""
+        """Subtract a request from its engine's count."""
         self.in_flight[engine] -= 1
 
     @abstractmethod
     def pick(self, free: list[str]) -> str:
-        """Return one of the engines."""
+        """Return one of the free engines."""
 
 
 class Random(_Counted):
-    """Any engine."""
+    """Baseline that chooses any free engine."""
 
     def pick(self, free: list[str]) -> str:
-        """Return any."""
+        """Return a random engine."""
         return self.rng.choice(free)
 
 
 class LeastInFlight(_Counted):
-    """The engine with the fewest of this instance's requests."""
+    """Baseline that chooses the engine with the fewest requests of this instance."""
 
     def pick(self, free: list[str]) -> str:
-        """Return the least loaded, any of equals."""
+        """Return the least loaded engine, at random among equals."""
         return min(free, key=lambda name: (self.in_flight[name], self.rng.random()))
 
 
@@ -163,7 +163,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Report:
-    """A load report on its way."""
+    """A load report that is not delivered yet."""
 
     due_s: float
     choice: Choice
@@ -173,7 +173,7 @@
 
 @dataclass(slots=True)
 class Result:
-    """Figures of one run."""
+    """Counts, completed requests and load spreads of one run."""
 
     offered: int = 0
     refused: int = 0
@@ -182,31 +182,31 @@
 
     @property
     def firsts_ms(self) -> list[float]:
-        """Milliseconds to the first token of each answer, sorted."""
+        """Milliseconds to the first token of each answer, in ascending order."""
         return sorted(1000 * ((w.first_token_s or 0.0) - w.arrived_s) for w in self.done)
 
     @property
     def in_time(self) -> int:
-        """Answers whose first token came within the target's time."""
+        """Number of answers whose first token met the latency target."""
         return sum(first <= _IN_TIME_MS for first in self.firsts_ms)
 
     @property
     def hits_percent(self) -> float:
-        """Share of answers whose prefix was cached."""
+        """Percentage of answers whose prefix was cached."""
         return 100 * mean(work.cached for work in self.done)
 
     @property
     def refused_percent(self) -> float:
-        """Share of requests that were refused."""
+        """Percentage of requests that were refused."""
         return 100 * self.refused / self.offered
 
     def row(self, seconds: float) -> str:
-        """Return the figures as a row.
+        """Return the figures as a table row.
 
         Parameters
         ----------
         seconds
-            Length of the run.
+            Duration of the run.
         """
         firsts = self.firsts_ms
         return (
@@ -230,7 +230,7 @@
 
 
 class World:
-    """Callers, instances and engines of one run."""
+    """Simulates the callers, instances and engines of one run."""
 
     def __init__(self, choice: type[Choice], demand: Demand, seed: int) -> None:
         self._rng = random.Random(seed)
@@ -247,7 +247,7 @@
         self.result = Result()
 
     def run(self) -> Result:
-        """Run to the end of the demand and return the figures."""
+        """Run the demand and return the figures."""
         steps = int(self._demand.seconds / STEP_S)
         for step in range(steps):
             now_s = step * STEP_S
@@ -305,7 +305,7 @@
         self.result.done.append(work)
 
     def _note_spread(self) -> None:
-        """Note the fullest engine's load over the mean, of each data centre."""
+        """Note the ratio of the highest engine load to the mean in each data centre."""
         for place in PLACES:
             loads = [engine.load for name, engine in self.engines.items() if place in name]
             if sum(loads):
@@ -323,7 +323,7 @@
 
 
 def main(seed: int = 1, only: str = "") -> None:
-    """Print a row for each demand and way of choosing."""
+    """Print a row for each demand and chooser."""
     for demand in DEMANDS:
         if only and demand.name != only:
             continue
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -1,6 +1,7 @@
-"""Slopes for docs/CAPACITY.md: what each part costs at three sizes or more.
+"""Cost of each part by size, with fitted slopes for docs/CAPACITY.md.
 
-Run ``python -m benchmarks.slopes``. Prints a line for each size and a fitted slope for each part.
+Run ``python -m benchmarks.slopes``. It prints a line for each part: the cost at three sizes or
+more, and the slope.
 """
 
 from __future__ import annotations
@@ -61,7 +62,7 @@
 
 
 def report(name: str, unit: str, points: list[tuple[float, float]]) -> None:
-    """Print points and slope."""
+    """Print the points and the fitted line."""
     slope, intercept = fit(points)
     shown = ", ".join(f"{x:g}: {y:.4g}" for x, y in points)
     print(f"{name}: {shown} {unit}; slope {slope:.4g}, intercept {intercept:.4g}")
@@ -85,7 +86,7 @@
 
 
 def fold_cost() -> None:
-    """Memory and time of a ledger fold by budgets."""
+    """Report memory and time of a ledger fold by number of budgets."""
     memory, seconds = [], []
     for size in SIZES:
         tracemalloc.start()
@@ -121,7 +122,7 @@
 
 
 def ask_cost() -> None:
-    """Time of the look at one budget after each request, and of an ask with all along."""
+    """Report time of the check of a budget after a request, and of an ask for all budgets."""
     looks, asks = [], []
     for size in SIZES:
         state, agent = _leader(size)
@@ -138,7 +139,7 @@
 
 
 def account_cost() -> None:
-    """Time of reserve, mirror and settle at holder and witness, by requests."""
+    """Report time of reserve, mirror and settle at holder and witness by number of requests."""
     points = []
     for size in SIZES:
         holder, witness = HolderAccount(Epoch(2), has_witness=True), WitnessAccount(Epoch(2))
@@ -160,7 +161,7 @@
 
 
 def rank_cost() -> None:
-    """Time of one rendezvous ranking by instances of a data centre."""
+    """Report time of a rendezvous ranking by number of instances in a data centre."""
     points = []
     for size in (10, 50, 200):
         names = [f"i-{number}" for number in range(size)]
@@ -172,7 +173,7 @@
 
 
 def membership_cost() -> None:
-    """Memory of membership by instances."""
+    """Report memory of the membership by number of instances."""
     points = []
     for size in (100, 350, 700):
         tracemalloc.start()
@@ -188,7 +189,7 @@
 
 
 def config_cost() -> None:
-    """Memory and time of a configuration by budgets, each with one key."""
+    """Report memory and time of a configuration by number of budgets, each with one key."""
     memory, seconds, size_mb = [], [], []
     for size in SIZES:
         sections = {f"workspace w{i}": {"priority": "1"} for i in range(420)}
@@ -213,7 +214,7 @@
 
 
 def record_sizes() -> None:
-    """Bytes of records by what they carry."""
+    """Report bytes of records by number of entries."""
     asks, bills, decoding = [], [], []
     for size in (1, 20, 200):
         grant_asks = tuple(
@@ -245,7 +246,7 @@
 
 
 def idle_control() -> None:
-    """Processor time, bytes and memory of an instance that serves nobody, by instances."""
+    """Report processor time, traffic and memory of an idle instance by number of instances."""
     percent, rate, resident = [], [], []
     for count in INSTANCES:
         with tempfile.TemporaryDirectory() as folder, Fleet(Path(folder)) as fleet:
@@ -289,7 +290,7 @@
 
 
 def main() -> None:
-    """Measure all parts."""
+    """Measure and report all parts."""
     logging.set_verbosity(logging.FATAL)
     for part in PARTS:
         part()
--- a/benchmarks/test_bounds.py
+++ b/benchmarks/test_bounds.py
@@ -1,4 +1,4 @@
-"""Stored regression bounds on counts of the escrow benchmark; fake time, so the same every run."""
+"""Regression bounds on the escrow benchmark's counts, which fake time makes reproducible."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from .escrow import POLICIES, SCENARIOS, USERS, run_one
 
-#: Scenario: most false refusals in %, stranded tokens, appends per 1,000 requests.
+#: Maximum false refusals in %, stranded tokens and appends per 1,000 requests, by scenario.
 BOUNDS = {
     "steady": (0.0, 0, 6.0),
     "kill holder": (0.1, 700_000, 30.0),
@@ -19,7 +19,7 @@
 
 @pytest.mark.parametrize("name", list(BOUNDS))
 def test_kallhanvisa(name: str) -> None:
-    """Run one scenario and hold it against its bounds; nothing may ever be overspent."""
+    """A scenario stays within its bounds and never overspends."""
     logging.set_verbosity(logging.FATAL)
     scenario = next(scenario for scenario in SCENARIOS if scenario.name == name)
     user = "kallhanvisa"
--- a/benchmarks/world.py
+++ b/benchmarks/world.py
@@ -1,8 +1,8 @@
-"""Callers' demand against a way to share budgets, in fake time.
+"""Simulation of callers' demand on a ledger that shares budgets, in fake time.
 
-Three data centres with two instances each share budgets. The log shows a record to its readers one
-step after its append; peers answer at once; a dead instance is suspected after a while and replaced
-later. Only what surrounds the decisions is made up: arrivals, durations, the log, liveness.
+Three data centres with two instances each share budgets. A record reaches the log's readers one
+step after its append. Peers answer at once. A dead instance is suspected after a delay and replaced
+later. Arrivals, durations, the log and liveness are simulated; the decisions are the ledger's.
 """
 
 from __future__ import annotations
@@ -26,14 +26,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Demand:
-    """What callers ask for.
+    """Rate and sizes of the requests of all callers.
 
     Parameters
     ----------
     requests_per_s
-        Of all data centres and budgets together.
+        Rate over all data centres and budgets.
     skew
-        Share of the first data centre; the others halve the rest.
+        First data centre's share of the requests; the others get half of the rest each.
     """
 
     requests_per_s: float
@@ -46,7 +46,7 @@
 
 @dataclass(slots=True)
 class Result:
-    """What one run counted."""
+    """Counts of one run."""
 
     requests: int = 0
     served: int = 0
@@ -60,18 +60,18 @@
 
     @property
     def false_percent(self) -> float:
-        """False refusals as a share of all requests."""
+        """False refusals as a percentage of all requests."""
         return 100 * self.false_refusals / max(1, self.requests)
 
     @property
     def appends_per_1000(self) -> float:
-        """Appends for 1,000 served requests."""
+        """Number of appends for 1,000 served requests."""
         return 1000 * (self.ledger_appends + self.bill_appends) / max(1, self.served)
 
 
 @dataclass(slots=True)
 class Request:
-    """One request; `number` is of its reservation once it has one."""
+    """A request; `handle` identifies its reservation at the ledger, None before it has one."""
 
     place: DataCentre
     budget: BudgetName
@@ -85,45 +85,45 @@
 
 
 class Ledger(ABC):
-    """A way to share budgets between data centres."""
+    """Interface of a ledger that shares budgets between data centres."""
 
     @abstractmethod
     def step(self, now_s: float) -> None:
-        """Let time pass."""
+        """Advance to `now_s`."""
 
     @abstractmethod
     def reserve(self, request: Request, now_s: float) -> bool:
-        """Reserve, or return whether there is nothing now."""
+        """Reserve tokens and return whether that succeeded."""
 
     @abstractmethod
     def settle(self, request: Request) -> None:
-        """End a request."""
+        """Settle a completed request's reservation."""
 
     @abstractmethod
     def kill(self, place: DataCentre, who: str) -> None:
-        """Kill ``holder``, ``witness`` or ``both`` of a data centre, in all shards."""
+        """Kill the ``holder``, the ``witness`` or ``both`` of a data centre, in all shards."""
 
     @abstractmethod
     def cut(self, place: DataCentre, *, off: bool, alone: bool = False) -> None:
-        """Cut a data centre off from the platform, or join it again.
+        """Cut a data centre off from the platform, or reconnect it.
 
         Parameters
         ----------
-        alone
-            Whether it is cut off from the other data centres too.
+        is_isolated
+            Whether the cut separates it from the other data centres too.
         """
 
     @abstractmethod
     def top_up(self, tokens: dict[BudgetName, int]) -> None:
-        """Pay for more; a data centre that is cut off hears of it from its peers."""
+        """Add paid tokens; a data centre cut off from the platform learns of them from peers."""
 
     @abstractmethod
     def stranded_tokens(self) -> int:
-        """Return what nobody can spend any more."""
+        """Return the tokens that no instance can spend any more."""
 
 
 class World:
-    """Demand against a ledger, in fake time."""
+    """Runs a demand on a ledger in fake time."""
 
     def __init__(
         self, ledger: Ledger, demand: Demand, paid: dict[BudgetName, int], seed: int
@@ -139,11 +139,11 @@
         self._waiting: list[Request] = []
         self._names = list(paid)
         self._bills: dict[DataCentre, tuple[int, float]] = {}
-        # A few are large: the budgets' shares fall off as 1/rank.
+        # Shares of the budgets fall off as 1/rank, so a few are large.
         self._weights = [1 / rank for rank in range(1, len(paid) + 1)]
 
     def run(self, seconds: float) -> None:
-        """Let `seconds` pass."""
+        """Run for `seconds` of simulated time."""
         for _ in range(round(seconds / STEP_S)):
             self.now_s += STEP_S
             self.ledger.step(self.now_s)
@@ -153,7 +153,7 @@
                 self._try(request)
 
     def top_up(self, percent: int) -> None:
-        """Pay a share of each budget's first total again."""
+        """Add a percentage of each budget's initial total."""
         tokens = {name: paid * percent // 100 for name, paid in self._paid.items()}
         for name, more in tokens.items():
             self._left[name] += more
@@ -190,10 +190,10 @@
             self.result.false_refusals += 1
 
     def _bill(self, request: Request) -> None:
-        """Count the bill towards its instance's next append, as `LogWriter` paces them."""
+        """Count a bill towards the next append, paced like those of `LogWriter`."""
         lines, since_s = self._bills.get(request.place, (0, self.now_s))
         lines += 1
-        # Two instances share a data centre's requests.
+        # The two instances of a data centre share its requests, and each appends its own bills.
         if lines >= 2 * BILL_LINES or self.now_s - since_s >= BILL_GATHER_S:
             self.result.bill_appends += 2
             lines, since_s = 0, self.now_s
--- a/examples/deployment.py
+++ b/examples/deployment.py
@@ -1,9 +1,9 @@
-"""Runs a first deployment of one of the users on loopback, and kills an instance of it.
+"""Example that runs a user's first deployment on loopback and kills one of its instances.
 
 Run ``.venv/bin/python examples/deployment.py kallhanvisa`` or ``doto``: three data centres with two
-entry instances each, and as many runners as the user has. It publishes the user's folder, lets the
-engines be ordered to load their model, asks in each data centre, kills an instance, asks again,
-and shows status and audit trail.
+entry instances each, and the user's number of model runners. It publishes the user's folder, waits
+until the instances have ordered the engines to load their model and each instance answers, kills an
+instance, asks another, and prints the status and the audit trail.
 """
 
 from __future__ import annotations
@@ -24,14 +24,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """What a user runs.
+    """Data centres, upstreams and an example request of a user.
 
     Parameters
     ----------
     engines_per_place
-        Model runners of each data centre; plain services have one each.
+        Number of model runners in each data centre; of the plain service there is one.
     key
-        A caller's key of the folder.
+        A caller's key from the user's folder.
     """
 
     places: tuple[str, ...]
@@ -63,7 +63,7 @@
 
 
 def start_upstreams(fleet: Fleet, deployment: Deployment, folder: Path) -> None:
-    """Start engines and services and write their sections; their ports are only known now."""
+    """Start engines and services, then write their sections, which need the assigned ports."""
     lines = []
     for place in deployment.places:
         for number in range(deployment.engines_per_place):
@@ -96,7 +96,7 @@
 
 
 def ask(fleet: Fleet, deployment: Deployment, name: str) -> int:
-    """Send a chat completion to an instance and return the answer's status."""
+    """Send a chat completion to an instance and return the HTTP status."""
     answer = chat(
         fleet.processes[name].url,
         prompt=deployment.prompt,
--- a/examples/run.py
+++ b/examples/run.py
@@ -1,7 +1,7 @@
-"""Runs a small fleet on loopback: an answer, its bill, and a refusal past the budget.
+"""Example that runs a small fleet on loopback: an answer, its bill, and an over-budget refusal.
 
-Starts the platform stand-in, two model engines, a plain service and two entry instances in two
-data centres, publishes ``examples/kallhanvisa`` with the upstreams' addresses, and asks.
+It starts the platform stand-in, two model engines, a plain service and two entry instances in two
+data centres, publishes ``examples/kallhanvisa`` with the upstreams' addresses, and sends requests.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 def write_upstreams(fleet: Fleet, folder: Path) -> None:
-    """Write the upstreams' sections; their ports are only known now."""
+    """Write the upstreams' sections, which need the assigned ports."""
     lines = []
     for name, data_centre in PLACES.items():
         kind = "engine" if name.startswith("llm") else "service"
@@ -35,7 +35,7 @@
 
 
 def ask(url: str, key: str, *, max_tokens: int) -> httpx.Response:
-    """Send one chat completion."""
+    """Send a chat completion and return the response."""
     return httpx.post(
         f"{url}/v1/chat/completions",
         headers={"authorization": f"Bearer {key}"},
--- a/mothstand/tests/test_binary.py
+++ b/mothstand/tests/test_binary.py
@@ -1,4 +1,4 @@
-"""The packed file serves, stays one process, and leaves nothing behind."""
+"""Test that the packed file serves requests as one process."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @pytest.fixture(scope="module")
 def packed() -> Path:
-    """Build the file."""
+    """Build the packed file and return its path."""
     build = ROOT / "tools" / "build_binary.sh"
     if not build.exists():
         pytest.skip("an installed package has no build script")
@@ -28,12 +28,12 @@
 
 class TestPackedFile:
     def test_serves_as_one_process(self, packed: Path, tmp_path: Path) -> None:
-        """Symptom: the platform kills a process and another one of the same instance lives on.
+        """Guards against bundlers whose launcher unpacks and starts the program as a child.
 
-        Sequence: a launcher unpacks itself and starts the real program as a child.
-        Cause it guards against: bundlers that fork, though a process may start no other.
+        Processes must not start others: the platform would kill the launcher only, and the child
+        would keep running as the same instance.
         """
-        # Without site-packages: all libraries must come from the file.
+        # -S leaves out site-packages, so all libraries must come from the file.
         command = (sys.executable, "-I", "-S", str(packed))
         (tmp_path / "tmp").mkdir()
         with Fleet(tmp_path, command=command) as fleet:
--- a/mothstand/tests/test_examples.py
+++ b/mothstand/tests/test_examples.py
@@ -1,4 +1,4 @@
-"""The examples that newcomers run first."""
+"""Tests that run the examples as a newcomer does."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def run(*arguments: str) -> str:
-    """Run an example to its end and return what it prints."""
+    """Run an example until it exits and return its output."""
     done = subprocess.run(
         [sys.executable, *arguments],
         cwd=EXAMPLES.parent,
--- a/tools/pack_binary.py
+++ b/tools/pack_binary.py
@@ -1,7 +1,7 @@
 """Packs a folder of installed packages into one executable file.
 
-Usage: ``python tools/pack_binary.py FOLDER TARGET``. The file is a zip archive that Python runs in
-its own process: no launcher that forks, and nothing is left on disk.
+Usage: ``python tools/pack_binary.py FOLDER TARGET``. The file is a zip archive that Python runs
+without a launcher that forks; the running program leaves no files on disk.
 """
 
 from __future__ import annotations
