--- a/benchmarks/engine_model.py
+++ b/benchmarks/engine_model.py
@@ -34,9 +34,9 @@
     answer_tokens: int
     arrived_s: float
     first_token_s: float | None = None
-    cached: bool = False
-    prefill_left: float = 0.0
-    made: float = 0.0
+    is_cached: bool = False
+    prefill_tokens_left: float = 0.0
+    generated_tokens: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -58,7 +58,7 @@
     slots: int = 16
     prefill_tokens_per_s: float = 20_000.0
     decode_tokens_per_s: float = 800.0
-    one_tokens_per_s: float = 80.0
+    request_tokens_per_s: float = 80.0
     cache_tokens: int = 24_000
 
 
@@ -88,8 +88,8 @@
         return self._decode(now_s)
 
     def _admit(self, work: Work) -> None:
-        work.cached = work.prefix in self.cache
-        work.prefill_left = work.own_tokens + (0 if work.cached else work.prefix_tokens)
+        work.is_cached = work.prefix in self.cache
+        work.prefill_tokens_left = work.own_tokens + (0 if work.is_cached else work.prefix_tokens)
         self.cache[work.prefix] = work.prefix_tokens
         self.cache.move_to_end(work.prefix)
         while sum(self.cache.values()) > self.size.cache_tokens:
@@ -99,20 +99,20 @@
     def _prefill(self) -> None:
         budget = self.size.prefill_tokens_per_s * STEP_S
         for work in self.batch:
-            done = min(budget, work.prefill_left)
-            work.prefill_left -= done
+            done = min(budget, work.prefill_tokens_left)
+            work.prefill_tokens_left -= done
             budget -= done
 
     def _decode(self, now_s: float) -> list[Work]:
-        ready = [work for work in self.batch if work.prefill_left <= 0]
+        ready = [work for work in self.batch if work.prefill_tokens_left <= 0]
         if not ready:
             return []
-        rate = min(self.size.one_tokens_per_s, self.size.decode_tokens_per_s / len(ready))
+        rate = min(self.size.request_tokens_per_s, self.size.decode_tokens_per_s / len(ready))
         for work in ready:
-            work.made += rate * STEP_S
-            if work.first_token_s is None and work.made >= 1:
+            work.generated_tokens += rate * STEP_S
+            if work.first_token_s is None and work.generated_tokens >= 1:
                 work.first_token_s = now_s
-        ended = [work for work in ready if work.made >= work.answer_tokens]
+        ended = [work for work in ready if work.generated_tokens >= work.answer_tokens]
         if ended:
-            self.batch = [work for work in self.batch if work.made < work.answer_tokens]
+            self.batch = [work for work in self.batch if work.generated_tokens < work.answer_tokens]
         return ended
--- a/benchmarks/escrow.py
+++ b/benchmarks/escrow.py
@@ -18,15 +18,15 @@
 from mothstand.types import BudgetName
 
 from .fleet_ledger import EvenSplitLedger, FleetLedger
-from .world import PLACES, Demand, Result, World
+from .world import DATA_CENTRES, Demand, Result, World
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
     from .world import Ledger
 
-WARM_S = 300.0
-AFTER_S = 120.0
+WARM_UP_S = 300.0
+OBSERVED_S = 120.0
 HOUR_S = 3600.0
 
 #: Demand of each user's callers, scaled to what one instance's share of the runners can serve.
@@ -58,40 +58,40 @@
 
 
 def _steady(world: World) -> None:
-    world.run(AFTER_S)
+    world.run(OBSERVED_S)
 
 
-def _kill(who: str) -> Callable[[World], None]:
+def _kill(role: str) -> Callable[[World], None]:
     def act(world: World) -> None:
-        world.ledger.kill(PLACES[0], who)
-        world.run(AFTER_S)
+        world.ledger.kill(DATA_CENTRES[0], role)
+        world.run(OBSERVED_S)
 
     return act
 
 
-def _cut(during: Callable[[World], None], *, alone: bool) -> Callable[[World], None]:
+def _cut(during: Callable[[World], None], *, is_isolated: bool) -> Callable[[World], None]:
     def act(world: World) -> None:
-        world.ledger.cut(PLACES[0], off=True, alone=alone)
+        world.ledger.cut(DATA_CENTRES[0], is_cut=True, is_isolated=is_isolated)
         during(world)
-        world.ledger.cut(PLACES[0], off=False)
-        world.run(AFTER_S)
+        world.ledger.cut(DATA_CENTRES[0], is_cut=False)
+        world.run(OBSERVED_S)
 
     return act
 
 
-def _hour(world: World) -> None:
+def _run_hour(world: World) -> None:
     world.run(HOUR_S)
 
 
-def _top_up(world: World) -> None:
+def _top_up_within_hour(world: World) -> None:
     world.run(HOUR_S / 2)
     world.top_up(percent=50)
     world.run(HOUR_S / 2)
 
 
-def _kill_holder(world: World) -> None:
+def _kill_holder_during_cut(world: World) -> None:
     world.run(60.0)
-    world.ledger.kill(PLACES[0], "holder")
+    world.ledger.kill(DATA_CENTRES[0], "holder")
     world.run(600.0)
 
 
@@ -100,18 +100,18 @@
     Scenario("kill holder", _kill("holder")),
     Scenario("kill witness", _kill("witness")),
     Scenario("kill both", _kill("both")),
-    Scenario("hour's cut", _cut(_hour, alone=False)),
-    Scenario("hour's cut, top-up", _cut(_top_up, alone=False), budget_hours=0.7),
-    Scenario("cut, then kill holder", _cut(_kill_holder, alone=False)),
-    Scenario("hour alone", _cut(_hour, alone=True)),
-    Scenario("hour alone, top-up", _cut(_top_up, alone=True), budget_hours=0.7),
-    Scenario("alone, then kill holder", _cut(_kill_holder, alone=True)),
+    Scenario("hour's cut", _cut(_run_hour, is_isolated=False)),
+    Scenario("hour's cut, top-up", _cut(_top_up_within_hour, is_isolated=False), budget_hours=0.7),
+    Scenario("cut, then kill holder", _cut(_kill_holder_during_cut, is_isolated=False)),
+    Scenario("hour alone", _cut(_run_hour, is_isolated=True)),
+    Scenario("hour alone, top-up", _cut(_top_up_within_hour, is_isolated=True), budget_hours=0.7),
+    Scenario("alone, then kill holder", _cut(_kill_holder_during_cut, is_isolated=True)),
     Scenario("budgets end", _steady, budget_hours=0.1),
     Scenario("budgets end, kill holder", _kill("holder"), budget_hours=0.1),
 )
 
 
-def paid_for(demand: Demand, hours: float) -> dict[BudgetName, int]:
+def make_paid_budgets(demand: Demand, hours: float) -> dict[BudgetName, int]:
     """Return the paid tokens of budgets that together cover `hours` of the demand.
 
     Shares fall off as 1/rank, like those of the arrivals.
@@ -132,17 +132,17 @@
     kind
         ``witnessed``, ``write-off`` or ``even split``.
     """
-    paid = paid_for(demand, scenario.budget_hours)
-    warm = Result()
+    paid = make_paid_budgets(demand, scenario.budget_hours)
+    warm_up_result = Result()
     ledger: Ledger
     if kind == "even split":
         ledger = EvenSplitLedger(paid)
     else:
-        ledger = FleetLedger(policy, paid, warm, witnessed=kind == "witnessed")
+        ledger = FleetLedger(policy, paid, warm_up_result, witnessed=kind == "witnessed")
     world = World(ledger, demand, paid, seed=1)
-    world.result = warm
-    world.run(WARM_S)
-    result = Result(overspent_tokens=warm.overspent_tokens)
+    world.result = warm_up_result
+    world.run(WARM_UP_S)
+    result = Result(overspent_tokens=warm_up_result.overspent_tokens)
     world.result = result
     if isinstance(ledger, FleetLedger):
         ledger.result = result
@@ -159,13 +159,13 @@
         budgets=round(base.budgets * max(1.0, scale / 10)),
         skew=skew,
     )
-    found = []
+    results = []
     for scenario in SCENARIOS:
         if only and only != scenario.name:
             continue
         for kind in ("witnessed", "write-off", "even split"):
-            found.append((scenario.name, kind, run_one(kind, scenario, demand, POLICIES[user])))
-    return found
+            results.append((scenario.name, kind, run_one(kind, scenario, demand, POLICIES[user])))
+    return results
 
 
 def main(
@@ -191,7 +191,7 @@
         print(
             f"{scenario:26} {kind:11} {result.requests:8} {result.overspent_tokens:9}"
             f" {result.false_percent:8.3f} {result.stranded_tokens:10}"
-            f" {result.appends_per_1000:12.2f} {result.reserved_elsewhere:9}"
+            f" {result.appends_per_1000:12.2f} {result.reserved_remotely:9}"
         )
 
 
--- a/benchmarks/fleet_ledger.py
+++ b/benchmarks/fleet_ledger.py
@@ -10,14 +10,14 @@
 from mothstand.core.ledger_state import Grant
 from mothstand.core.membership import shard_of
 from mothstand.ledger.calls import ReserveCall, Ticket
-from mothstand.ledger.remote_reserve import epochs_with_room
+from mothstand.ledger.remote_reserve import remote_epochs_with_tokens
 from mothstand.ledger.shard import ShardNode
 from mothstand.ledger.state import ShardContext
 from mothstand.settings.instance import TimingSection
 from mothstand.testing.fakes import FakeClock, FakeMembership, FakeWriter, NoPeers
 from mothstand.types import BudgetName, DataCentre, Member, Shard
 
-from .world import PLACES, STEP_S, Ledger, Request, Result
+from .world import DATA_CENTRES, STEP_S, Ledger, Request, Result
 
 if TYPE_CHECKING:
     from mothstand.core.escrow import EscrowPolicy
@@ -32,18 +32,18 @@
 class _Process:
     """A simulated instance: its shard nodes and its membership view."""
 
-    me: Member
-    place: DataCentre
-    beliefs: FakeMembership
+    member: Member
+    data_centre: DataCentre
+    membership: FakeMembership
     clock: FakeClock
     nodes: dict[Shard, ShardNode] = field(default_factory=dict)
     writers: dict[Shard, FakeWriter[LedgerRecord]] = field(default_factory=dict)
-    read: dict[Shard, int] = field(default_factory=dict)
+    read_offsets: dict[Shard, int] = field(default_factory=dict)
     dead_at_s: float | None = None
     log_silent_s: float = 0.0
 
 
-class _LoneBeliefs(FakeMembership):
+class _NoWitnessMembership(FakeMembership):
     """Membership view in which a leaseholder finds no other instance for a witness."""
 
     def local_alive(self, now_s: float) -> dict[str, Member]:
@@ -77,99 +77,106 @@
         budgets = {name: Budget(name, "w", tokens) for name, tokens in paid.items()}
         upstreams = {
             str(place): Upstream(place, UpstreamKind.ENGINE, "", place, ("m",), 1)
-            for place in PLACES
+            for place in DATA_CENTRES
         }
         self.config = FleetConfig(budgets=budgets, upstreams=upstreams, escrow=policy)
         self.result = result
         self._witnessed = witnessed
         self._now_s = 1000.0
         self._logs: dict[Shard, list[LedgerRecord]] = {Shard(i): [] for i in range(SHARDS)}
-        self._cut: dict[DataCentre, float] = {}
-        self._alone: set[DataCentre] = set()
-        self._paid: dict[Shard, dict[BudgetName, int]] = {Shard(i): {} for i in range(SHARDS)}
+        self._cut_since_s: dict[DataCentre, float] = {}
+        self._isolated: set[DataCentre] = set()
+        self._paid_tokens: dict[Shard, dict[BudgetName, int]] = {
+            Shard(i): {} for i in range(SHARDS)
+        }
         for name, tokens in paid.items():
-            self._paid[self._shard(name)][name] = tokens
-        self._started = 0
+            self._paid_tokens[self._shard(name)][name] = tokens
+        self._start_count = 0
         self.processes = {
-            f"{place}-{i}": self._start(f"{place}-{i}", place) for place in PLACES for i in (1, 2)
+            f"{place}-{i}": self._start(f"{place}-{i}", place)
+            for place in DATA_CENTRES
+            for i in (1, 2)
         }
 
     def step(self, now_s: float) -> None:
         """Read the log, act and append, for each live instance."""
         self._now_s = now_s
         self._replace_dead(now_s)
-        self._believe(now_s)
-        for process in self._live():
+        self._update_memberships(now_s)
+        for process in self._live_processes():
             process.clock.advance(STEP_S)
-            since = self._cut.get(process.place)
-            process.log_silent_s = 0.0 if since is None else now_s - since
+            cut_since_s = self._cut_since_s.get(process.data_centre)
+            process.log_silent_s = 0.0 if cut_since_s is None else now_s - cut_since_s
             for shard, node in process.nodes.items():
-                if since is None:
+                if cut_since_s is None:
                     self._read(process, shard)
-                node.tick(self._paid[shard])
+                node.tick(self._paid_tokens[shard])
                 node.state.needed_tokens.clear()
                 self._mirror(node)
-        for process in self._live():
-            if process.place not in self._cut:
+        for process in self._live_processes():
+            if process.data_centre not in self._cut_since_s:
                 self._append(process)
 
     def reserve(self, request: Request, now_s: float) -> bool:
         """Reserve at the local leaseholder or promoted witness, else at a remote leaseholder."""
         shard = self._shard(request.budget)
-        for process in self._live(request.place):
+        for process in self._live_processes(request.data_centre):
             node = process.nodes[shard]
             if node.state.leading() is not None:
-                if self._reserve_leading(node, request):
+                if self._reserve_as_leader(node, request):
                     return True
-                return self._reserve_elsewhere(node, request) or self._wait(node, request)
+                return self._reserve_remotely(node, request) or self._wait_for_grant(node, request)
             if node.state.promoted() is not None:
-                if self._reserve_promoted(node, request):
+                if self._reserve_as_promoted(node, request):
                     return True
-                return self._reserve_elsewhere(node, request)
+                return self._reserve_remotely(node, request)
         return False
 
     def settle(self, request: Request) -> None:
         """Settle at the first instance that accepts the ticket."""
         ticket = request.handle
         assert isinstance(ticket, Ticket)
-        for process in self._live(request.held_at or request.place):
+        for process in self._live_processes(request.remote_holder or request.data_centre):
             reserver = process.nodes[ticket.shard].reserver
             if reserver.settle(ticket, request.used_tokens, ""):
-                reserver.posted(ticket)
+                reserver.note_posted(ticket)
                 return
 
-    def kill(self, place: DataCentre, who: str) -> None:
+    def kill(self, data_centre: DataCentre, role: str) -> None:
         """Kill the instance that leads the most shards, the other one, or both."""
-        live = self._live(place)
+        live = self._live_processes(data_centre)
 
-        def led(process: _Process) -> int:
+        def led_shards(process: _Process) -> int:
             return sum(node.state.leading() is not None for node in process.nodes.values())
 
-        live.sort(key=led, reverse=True)
-        victims = {"holder": live[:1], "witness": live[1:], "both": live}[who]
+        live.sort(key=led_shards, reverse=True)
+        victims = {"holder": live[:1], "witness": live[1:], "both": live}[role]
         for process in victims:
             process.dead_at_s = self._now_s
 
-    def cut(self, place: DataCentre, *, off: bool, alone: bool = False) -> None:
+    def cut(self, data_centre: DataCentre, *, is_cut: bool, is_isolated: bool = False) -> None:
         """Cut a data centre off from the platform, or reconnect it."""
-        if off:
-            self._cut[place] = self._now_s
-            if alone:
-                self._alone.add(place)
+        if is_cut:
+            self._cut_since_s[data_centre] = self._now_s
+            if is_isolated:
+                self._isolated.add(data_centre)
         else:
-            del self._cut[place]
-            self._alone.discard(place)
+            del self._cut_since_s[data_centre]
+            self._isolated.discard(data_centre)
 
     def top_up(self, tokens: dict[BudgetName, int]) -> None:
         """Add to the paid totals of the configuration."""
-        for name, more in tokens.items():
+        for name, added_tokens in tokens.items():
             shard = self._shard(name)
             # A node detects changed totals by the identity of the mapping.
-            self._paid[shard] = {**self._paid[shard], name: self._paid[shard][name] + more}
+            self._paid_tokens[shard] = {
+                **self._paid_tokens[shard],
+                name: self._paid_tokens[shard][name] + added_tokens,
+            }
 
     def stranded_tokens(self) -> int:
         """Return the tokens stranded in superseded epochs, by the log."""
-        process = next(p for p in self._live() if p.place not in self._cut)
+        process = next(p for p in self._live_processes() if p.data_centre not in self._cut_since_s)
         return sum(
             process.nodes[self._shard(name)].state.fold.stranded_tokens(name)
             for name in self.config.budgets
@@ -178,61 +185,67 @@
     def _shard(self, budget: BudgetName) -> Shard:
         return Shard(shard_of(budget, SHARDS))
 
-    def _live(self, place: DataCentre | None = None) -> list[_Process]:
+    def _live_processes(self, data_centre: DataCentre | None = None) -> list[_Process]:
         return [
             p
             for p in self.processes.values()
-            if p.dead_at_s is None and (place is None or p.place == place)
+            if p.dead_at_s is None and (data_centre is None or p.data_centre == data_centre)
         ]
 
-    def _start(self, name: str, place: DataCentre) -> _Process:
-        self._started += 1
-        me = Member(name, f"{name}:{self._started}", name)
+    def _start(self, name: str, data_centre: DataCentre) -> _Process:
+        self._start_count += 1
+        member = Member(name, f"{name}:{self._start_count}", name)
         clock = FakeClock()
         clock.advance(self._now_s - clock.monotonic_s())
-        beliefs = (FakeMembership if self._witnessed else _LoneBeliefs)(me, place)
-        process = _Process(me, place, beliefs, clock)
+        membership = (FakeMembership if self._witnessed else _NoWitnessMembership)(
+            member, data_centre
+        )
+        process = _Process(member, data_centre, membership, clock)
         context = ShardContext(
-            membership=process.beliefs,
+            membership=process.membership,
             calls=NoPeers(),
             clock=clock,
             timing=TimingSection.model_validate({}),
             config=lambda: self.config,
-            log_silent_s=lambda: process.log_silent_s,
-            data_centres=lambda: len(PLACES),
+            log_unreachable_s=lambda: process.log_silent_s,
+            data_centre_count=lambda: len(DATA_CENTRES),
         )
         for number in range(SHARDS):
             shard = Shard(number)
-            writer: FakeWriter[LedgerRecord] = FakeWriter(me.incarnation)
+            writer: FakeWriter[LedgerRecord] = FakeWriter(member.incarnation)
             process.writers[shard] = writer
-            process.read[shard] = 0
+            process.read_offsets[shard] = 0
             process.nodes[shard] = ShardNode(shard, writer, context, lambda _line: None)  # type: ignore[arg-type]
         return process
 
     def _replace_dead(self, now_s: float) -> None:
         for name, process in list(self.processes.items()):
             if process.dead_at_s is not None and now_s - process.dead_at_s > REPLACED_AFTER_S:
-                self.processes[name] = self._start(name, process.place)
+                self.processes[name] = self._start(name, process.data_centre)
 
-    def _believe(self, now_s: float) -> None:
-        for process in self._live():
-            believed = {
-                p.me.name: p.me
+    def _update_memberships(self, now_s: float) -> None:
+        for process in self._live_processes():
+            alive = {
+                p.member.name: p.member
                 for p in self.processes.values()
-                if p.place == process.place
+                if p.data_centre == process.data_centre
                 and p is not process
                 and (p.dead_at_s is None or now_s - p.dead_at_s < SUSPECT_AFTER_S)
             }
-            process.beliefs.believed_alive = believed
-            process.beliefs.believed_elsewhere = {
-                p.me.name: p.me for p in self._live() if p.place != process.place
+            process.membership.alive_peers = alive
+            process.membership.alive_remote_members = {
+                p.member.name: p.member
+                for p in self._live_processes()
+                if p.data_centre != process.data_centre
             }
 
     def _read(self, process: _Process, shard: Shard) -> None:
         log = self._logs[shard]
-        while process.read[shard] < len(log):
-            process.read[shard] += 1
-            process.nodes[shard].on_record(process.read[shard], log[process.read[shard] - 1])
+        while process.read_offsets[shard] < len(log):
+            process.read_offsets[shard] += 1
+            process.nodes[shard].on_record(
+                process.read_offsets[shard], log[process.read_offsets[shard] - 1]
+            )
 
     def _append(self, process: _Process) -> None:
         for shard, writer in process.writers.items():
@@ -255,91 +268,94 @@
                 and state.epoch in witness.nodes[node.state.shard].state.witnesses
             ):
                 answer = witness.nodes[node.state.shard].reserver.mirror(batch)
-            node.reserver.witness_reachable = answer is not None
+            node.reserver.is_witness_reachable = answer is not None
             if answer is None:
                 return
-            node.reserver.take_answer(account, batch, answer)
+            node.reserver.apply_mirror_answer(account, batch, answer)
 
-    def _reserve_leading(self, node: ShardNode, request: Request) -> bool:
+    def _reserve_as_leader(self, node: ShardNode, request: Request) -> bool:
         leading = node.state.leading()
         assert leading is not None
         state, account = leading
         node.agent.note_bound(request.budget, request.bound_tokens)
         grant = state.grants.get(request.budget, Grant())
-        taken = None
+        reservation = None
         for lane in node.reserver.lanes(account, request.budget):
-            taken = account.reserve(
+            reservation = account.reserve(
                 "", request.budget, request.bound_tokens, grant=grant, lane=lane
             )
-            if taken is not None and lane is Lane.WITNESSED:
+            if reservation is not None and lane is Lane.WITNESSED:
                 self._mirror(node)
                 if (
-                    taken.number not in account.open_reservations
-                    or not node.reserver.witness_reachable
+                    reservation.number not in account.open_reservations
+                    or not node.reserver.is_witness_reachable
                 ):
-                    account.settle(taken.number, 0)
-                    taken = None
-            if taken is not None:
+                    account.settle(reservation.number, 0)
+                    reservation = None
+            if reservation is not None:
                 break
-        if taken is None:
+        if reservation is None:
             return False
         node.agent.ask(request.budget)
-        request.handle = Ticket(node.state.shard, state.epoch, taken.number, "", "")
+        request.handle = Ticket(node.state.shard, state.epoch, reservation.number, "", "")
         return True
 
-    def _reserve_elsewhere(self, node: ShardNode, request: Request) -> bool:
+    def _reserve_remotely(self, node: ShardNode, request: Request) -> bool:
         """Reserve at a remote leaseholder if the log has fewer tokens than needed."""
-        call = _call(node, request)
-        if request.place in self._alone or not node.reserver.log_has_less(call):
+        call = _make_call(node, request)
+        if request.data_centre in self._isolated or not node.reserver.log_lacks_tokens(call):
             return False
-        found = epochs_with_room(node.state, request.budget, request.bound_tokens)
-        for epoch in found:
+        epochs = remote_epochs_with_tokens(node.state, request.budget, request.bound_tokens)
+        for epoch in epochs:
             holder = self.processes[epoch.holder.name]
-            asked = holder.nodes[node.state.shard]
-            if holder.place in self._alone or asked.state.leading() is None:
+            remote_node = holder.nodes[node.state.shard]
+            if holder.data_centre in self._isolated or remote_node.state.leading() is None:
                 continue
-            if self._reserve_leading(asked, request):
-                request.held_at = holder.place
-                self.result.reserved_elsewhere += 1
+            if self._reserve_as_leader(remote_node, request):
+                request.remote_holder = holder.data_centre
+                self.result.reserved_remotely += 1
                 return True
-            if not asked.reserver.log_has_less(call):
+            if not remote_node.reserver.log_lacks_tokens(call):
                 # The remote holder asks for a grant; the request is retried in the next step.
-                self._ask(asked, request)
-                request.waits_elsewhere = True
+                self._ask_for_grant(remote_node, request)
+                request.waits_for_remote_grant = True
                 return False
         return False
 
-    def _wait(self, node: ShardNode, request: Request) -> bool:
+    def _wait_for_grant(self, node: ShardNode, request: Request) -> bool:
         """Ask for a grant, or end the wait if the ledger rules one out; return False."""
-        if request.waits_elsewhere:
-            request.waits_elsewhere = False
+        if request.waits_for_remote_grant:
+            request.waits_for_remote_grant = False
             return False
-        if node.reserver.shortage(_call(node, request), waited=False) is not None:
+        if (
+            node.reserver.shortage_refusal(_make_call(node, request), is_wait_over=False)
+            is not None
+        ):
             request.deadline_s = 0.0
             return False
-        self._ask(node, request)
+        self._ask_for_grant(node, request)
         return False
 
-    def _ask(self, node: ShardNode, request: Request) -> None:
+    def _ask_for_grant(self, node: ShardNode, request: Request) -> None:
         needed = node.state.needed_tokens
         needed[request.budget] = needed.get(request.budget, 0) + request.bound_tokens
         node.agent.ask(request.budget)
 
-    def _reserve_promoted(self, node: ShardNode, request: Request) -> bool:
+    def _reserve_as_promoted(self, node: ShardNode, request: Request) -> bool:
         promoted = node.state.promoted()
         assert promoted is not None
         state, account = promoted
         grant = state.grants.get(request.budget, Grant())
-        taken = account.reserve_own("", request.budget, request.bound_tokens, grant=grant)
-        if taken is None:
+        reservation = account.reserve_own("", request.budget, request.bound_tokens, grant=grant)
+        if reservation is None:
             return False
-        request.handle = Ticket(node.state.shard, state.epoch, taken.number, "", "")
+        request.handle = Ticket(node.state.shard, state.epoch, reservation.number, "", "")
         return True
 
 
-def _call(node: ShardNode, request: Request) -> ReserveCall:
+def _make_call(node: ShardNode, request: Request) -> ReserveCall:
     shard = node.state.shard
-    return ReserveCall(shard, "", request.budget, request.bound_tokens, "", keyed=False)
+    return ReserveCall(shard, "", request.budget, request.bound_tokens, "", is_keyed=False)
 
 
 class EvenSplitLedger(Ledger):
@@ -349,49 +365,51 @@
     """
 
     def __init__(self, paid: dict[BudgetName, int]) -> None:
-        self._left = {
-            (place, name): tokens // len(PLACES)
-            for place in PLACES
+        self._share_tokens = {
+            (place, name): tokens // len(DATA_CENTRES)
+            for place in DATA_CENTRES
             for name, tokens in paid.items()
         }
-        self._stranded = 0
+        self._stranded_tokens = 0
 
     def step(self, now_s: float) -> None:
         """Do nothing, since shares are fixed."""
 
     def reserve(self, request: Request, now_s: float) -> bool:
         """Reserve from the data centre's share."""
-        key = (request.place, request.budget)
-        if self._left[key] < request.bound_tokens:
+        key = (request.data_centre, request.budget)
+        if self._share_tokens[key] < request.bound_tokens:
             return False
-        self._left[key] -= request.bound_tokens
+        self._share_tokens[key] -= request.bound_tokens
         request.handle = key
         return True
 
     def settle(self, request: Request) -> None:
         """Return the unused tokens to the share."""
-        key = (request.place, request.budget)
-        if self._left[key] >= 0 and request.handle == key:
-            self._left[key] += request.bound_tokens - request.used_tokens
+        key = (request.data_centre, request.budget)
+        if self._share_tokens[key] >= 0 and request.handle == key:
+            self._share_tokens[key] += request.bound_tokens - request.used_tokens
 
-    def kill(self, place: DataCentre, who: str) -> None:
+    def kill(self, data_centre: DataCentre, role: str) -> None:
         """Write off the data centre's shares when their holder dies."""
-        if who == "witness":
+        if role == "witness":
             return
-        for key, left in self._left.items():
-            if key[0] == place:
-                self._stranded += left
-                self._left[key] = -1
+        for key, tokens in self._share_tokens.items():
+            if key[0] == data_centre:
+                self._stranded_tokens += tokens
+                self._share_tokens[key] = -1
 
-    def cut(self, place: DataCentre, *, off: bool, alone: bool = False) -> None:
+    def cut(self, data_centre: DataCentre, *, is_cut: bool, is_isolated: bool = False) -> None:
         """Do nothing, since shares don't depend on the platform."""
 
     def top_up(self, tokens: dict[BudgetName, int]) -> None:
         """Add an equal share in each data centre whose share is not written off."""
-        for (place, name), left in self._left.items():
-            if left >= 0:
-                self._left[place, name] = left + tokens[name] // len(PLACES)
+        for (data_centre, name), share_tokens in self._share_tokens.items():
+            if share_tokens >= 0:
+                self._share_tokens[data_centre, name] = share_tokens + tokens[name] // len(
+                    DATA_CENTRES
+                )
 
     def stranded_tokens(self) -> int:
         """Return the tokens that were written off."""
-        return self._stranded
+        return self._stranded_tokens
--- a/benchmarks/forwarding.py
+++ b/benchmarks/forwarding.py
@@ -65,25 +65,25 @@
             "stream": stream,
         }
     ).encode()
-    left = iter(range(requests))
+    remaining = iter(range(requests))
     results: list[tuple[float, int, bool]] = []
     connector = aiohttp.TCPConnector(limit=0)
     async with aiohttp.ClientSession(connector=connector) as session:
 
         async def caller() -> None:
-            for _ in left:
+            for _ in remaining:
                 results.append(await _call(session, url, body))
 
         started = time.perf_counter()
         await asyncio.gather(*(caller() for _ in range(callers)))
-        elapsed = time.perf_counter() - started
-    cuts = quantiles([1000 * r[0] for r in results], n=20)
+        elapsed_s = time.perf_counter() - started
+    quantiles_ms = quantiles([1000 * r[0] for r in results], n=20)
     chunks = sum(r[1] for r in results)
     failed = sum(r[2] for r in results)
-    return Figures(len(results) / elapsed, cuts[9], cuts[18], chunks, failed)
+    return Figures(len(results) / elapsed_s, quantiles_ms[9], quantiles_ms[18], chunks, failed)
 
 
-def _in_child(url: str, callers: int, requests: int, stream: bool, queue: object) -> None:
+def _drive_in_child(url: str, callers: int, requests: int, stream: bool, queue: object) -> None:
     queue.put(asyncio.run(_drive(url, callers, requests, stream=stream)))  # type: ignore[attr-defined]
 
 
@@ -91,7 +91,7 @@
     """Send requests to a target from a separate process."""
     context = multiprocessing.get_context("spawn")
     queue = context.Queue()
-    child = context.Process(target=_in_child, args=(url, callers, requests, stream, queue))
+    child = context.Process(target=_drive_in_child, args=(url, callers, requests, stream, queue))
     child.start()
     figures: Figures = queue.get(timeout=300)
     child.join()
--- a/benchmarks/in_force.py
+++ b/benchmarks/in_force.py
@@ -31,30 +31,30 @@
     sections = read_folder(write_folder(folder, fleet, paid_tokens={"lund": 1_000_000 + number}))
     started = time.perf_counter()
     published = await Publisher(log, "bench", clock).publish(sections)
-    seen = await wait_in_force(
+    spread = await wait_in_force(
         published.offset,
         listing,
         peers,
         clock,
         timeout_s=10.0,
-        progress=lambda _: None,
-        every_s=0.01,
+        report_progress=lambda _: None,
+        poll_interval_s=0.01,
     )
-    elapsed = time.perf_counter() - started
-    assert seen.everywhere, seen
+    elapsed_s = time.perf_counter() - started
+    assert spread.is_complete, spread
     peers.close()
     await log.aclose()
     await listing.aclose()
-    return elapsed
+    return elapsed_s
 
 
-def measure(per_place: int, changes: int) -> list[float]:
+def measure(per_data_centre: int, changes: int) -> list[float]:
     """Return the seconds that each change took to be in force everywhere."""
     with tempfile.TemporaryDirectory() as temporary, Fleet(Path(temporary)) as fleet:
         fleet.start_platform()
-        names = [f"sto-{place}-{i}" for place in "abc" for i in range(per_place)]
+        names = [f"sto-{place}-{i}" for place in "abc" for i in range(per_data_centre)]
         for name in names:
-            fleet.start_instance(name, name[:5], listed=False)
+            fleet.start_instance(name, name[:5], is_listed=False)
         fleet.publish_list()
         folder = Path(temporary) / "folder"
         fleet.publish(write_folder(folder, fleet))
@@ -64,9 +64,11 @@
 
 def main(changes: int = 40) -> None:
     """Print a line for each fleet size."""
-    for per_place in (2, 4, 8):
-        cuts = quantiles([1000 * s for s in measure(per_place, changes)], n=100)
-        print(f"{3 * per_place} instances: p50 {cuts[49]:.0f} ms, p99 {cuts[98]:.0f} ms")
+    for per_data_centre in (2, 4, 8):
+        percentiles_ms = quantiles([1000 * s for s in measure(per_data_centre, changes)], n=100)
+        print(
+            f"{3 * per_data_centre} instances: p50 {percentiles_ms[49]:.0f} ms, p99 {percentiles_ms[98]:.0f} ms"
+        )
 
 
 if __name__ == "__main__":
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -30,17 +30,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
+class CallResult:
     """Status and latencies of one request."""
 
-    high: bool
+    is_high_priority: bool
     status: int
-    first_s: float
-    whole_s: float
+    first_token_s: float
+    total_s: float
 
 
-async def _call(session: aiohttp.ClientSession, url: str, *, high: bool, number: int) -> Seen:
-    key = KEYS["lund" if high else "kushiro"]
+async def _call(
+    session: aiohttp.ClientSession, url: str, *, is_high_priority: bool, number: int
+) -> CallResult:
+    key = KEYS["lund" if is_high_priority else "kushiro"]
     body = {
         "model": MODEL,
         "messages": [{"role": "user", "content": f"{number} entry"}],
@@ -49,39 +51,41 @@
         "stream": True,
     }
     started = time.perf_counter()
-    first_s = 0.0
+    first_token_s = 0.0
     headers = {"authorization": f"Bearer {key}"}
     async with session.post(f"{url}/v1/chat/completions", json=body, headers=headers) as response:
         async for _ in response.content:
-            first_s = first_s or time.perf_counter() - started
-    return Seen(high, response.status, first_s, time.perf_counter() - started)
+            first_token_s = first_token_s or time.perf_counter() - started
+    return CallResult(
+        is_high_priority, response.status, first_token_s, time.perf_counter() - started
+    )
 
 
-async def _offer(url: str, rate: float) -> list[Seen]:
+async def _offer(url: str, rate: float) -> list[CallResult]:
     connector = aiohttp.TCPConnector(limit=0)
     async with aiohttp.ClientSession(connector=connector) as session:
         tasks = []
         started = time.perf_counter()
         for number in range(int(rate * _SECONDS)):
             await asyncio.sleep(max(0.0, started + number / rate - time.perf_counter()))
-            call = _call(session, url, high=number % 4 == 0, number=number)
+            call = _call(session, url, is_high_priority=number % 4 == 0, number=number)
             tasks.append(asyncio.create_task(call))
         return list(await asyncio.gather(*tasks))
 
 
-def _in_child(url: str, rate: float, queue: object) -> None:
+def _offer_in_child(url: str, rate: float, queue: object) -> None:
     queue.put(asyncio.run(_offer(url, rate)))  # type: ignore[attr-defined]
 
 
-def offer(url: str, rate: float) -> list[Seen]:
+def offer(url: str, rate: float) -> list[CallResult]:
     """Send requests at a fixed rate from a separate process."""
     context = multiprocessing.get_context("spawn")
     queue = context.Queue()
-    child = context.Process(target=_in_child, args=(url, rate, queue))
+    child = context.Process(target=_offer_in_child, args=(url, rate, queue))
     child.start()
-    seen: list[Seen] = queue.get(timeout=120)
+    results: list[CallResult] = queue.get(timeout=120)
     child.join()
-    return seen
+    return results
 
 
 def p95_ms(values: list[float]) -> float:
@@ -110,17 +114,17 @@
         print(f"capacity {capacity:.0f} requests/s of {_TOKENS} tokens, {_SLOTS} slots")
         print("offered  goodput/s  high: served %  first p95 ms  low: served %  refused p95 ms")
         for multiple in _MULTIPLES:
-            seen = offer(instance.url, multiple * capacity)
-            served = [s for s in seen if s.status == 200]
-            refused = [s.whole_s for s in seen if s.status != 200]
-            high = [s for s in seen if s.high]
-            low = [s for s in seen if not s.high]
+            results = offer(instance.url, multiple * capacity)
+            served = [s for s in results if s.status == 200]
+            refused_s = [s.total_s for s in results if s.status != 200]
+            high = [s for s in results if s.is_high_priority]
+            low = [s for s in results if not s.is_high_priority]
             print(
                 f"{multiple:6.1f}x {len(served) / _SECONDS:10.1f}"
                 f" {100 * sum(s.status == 200 for s in high) / len(high):14.1f}"
-                f" {p95_ms([s.first_s for s in high if s.status == 200]):13.0f}"
+                f" {p95_ms([s.first_token_s for s in high if s.status == 200]):13.0f}"
                 f" {100 * sum(s.status == 200 for s in low) / len(low):14.1f}"
-                f" {p95_ms(refused):15.1f}"
+                f" {p95_ms(refused_s):15.1f}"
             )
 
 
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -31,7 +31,7 @@
     slots=16,
     prefill_tokens_per_s=41_400.0,
     decode_tokens_per_s=3_200.0,
-    one_tokens_per_s=200.0,
+    request_tokens_per_s=200.0,
     cache_tokens=150_000,
 )
 
@@ -72,18 +72,20 @@
 
     def _pass(self, now_s: float, ended: list[Work]) -> float:
         """Run one pass over the batch and return its duration."""
-        unread = next((work for work in self.batch if work.prefill_left > 0), None)
-        chunk = 0.0 if unread is None else min(_CHUNK_TOKENS, unread.prefill_left)
+        unread = next((work for work in self.batch if work.prefill_tokens_left > 0), None)
+        chunk = 0.0 if unread is None else min(_CHUNK_TOKENS, unread.prefill_tokens_left)
         for work in self.batch:
-            if work.prefill_left <= 0:
-                work.made += 1
-            if work.first_token_s is None and work.made >= min(_EVENT_TOKENS, work.answer_tokens):
+            if work.prefill_tokens_left <= 0:
+                work.generated_tokens += 1
+            if work.first_token_s is None and work.generated_tokens >= min(
+                _EVENT_TOKENS, work.answer_tokens
+            ):
                 work.first_token_s = now_s
         if unread is not None:
-            unread.prefill_left -= chunk
+            unread.prefill_tokens_left -= chunk
             self.read_tokens += chunk
-        ended += [work for work in self.batch if work.made >= work.answer_tokens]
-        self.batch = [work for work in self.batch if work.made < work.answer_tokens]
+        ended += [work for work in self.batch if work.generated_tokens >= work.answer_tokens]
+        self.batch = [work for work in self.batch if work.generated_tokens < work.answer_tokens]
         return _PASS_S + chunk / self.size.prefill_tokens_per_s
 
 
@@ -103,7 +105,7 @@
     documents_per_s: float
     questions_per_s: float
     skew: float = 0.8
-    seconds: float = 20.0
+    duration_s: float = 20.0
 
 
 SITES = {
@@ -119,17 +121,17 @@
 class Outcome:
     """Counts of requests, by kind, and of the prompt tokens that engines read."""
 
-    asked: Counter[str] = field(default_factory=Counter)
-    late: Counter[str] = field(default_factory=Counter)
+    requests: Counter[str] = field(default_factory=Counter)
+    late_requests: Counter[str] = field(default_factory=Counter)
     read_tokens: float = 0.0
 
     def late_share(self, kind: str) -> float:
         """Return the share of requests of a kind whose first token was late."""
-        return self.late[kind] / max(1, self.asked[kind])
+        return self.late_requests[kind] / max(1, self.requests[kind])
 
 
 @dataclass(slots=True)
-class _Running:
+class _RunningRequest:
     kind: str
     work: Work
     placement: Placement
@@ -142,48 +144,52 @@
     def __init__(self, site: Site, policy: PlacementPolicy, seed: int) -> None:
         self._site = site
         self._rng = random.Random(seed)
-        places = [DataCentre(f"dc-{n}") for n in range(site.data_centres)]
-        self._instances = [Placement(p, policy) for p in places for _ in range(site.instances_each)]
+        data_centres = [DataCentre(f"dc-{n}") for n in range(site.data_centres)]
+        self._instances = [
+            Placement(p, policy) for p in data_centres for _ in range(site.instances_each)
+        ]
         self._rng.shuffle(self._instances)
         self._shares = [1 / (n + 1) ** site.skew for n in range(len(self._instances))]
         self._engines: dict[str, ChunkedEngine] = {}
         self._upstreams: list[RegisteredUpstream] = []
-        for place in places:
+        for data_centre in data_centres:
             for number in range(site.engines_each):
-                name = f"{place}-{number}"
+                name = f"{data_centre}-{number}"
                 self._engines[name] = ChunkedEngine(_ENGINE)
-                self._upstreams.append(RegisteredUpstream(name, "llm", name, place, 16, False))
-        self._running: list[_Running] = []
-        self._number = 0
+                self._upstreams.append(
+                    RegisteredUpstream(name, "llm", name, data_centre, 16, False)
+                )
+        self._running: list[_RunningRequest] = []
+        self._request_count = 0
         self.outcome = Outcome()
 
-    def play(self) -> Outcome:
+    def run(self) -> Outcome:
         """Run the load and return its counts."""
         now_s = 0.0
         next_s = {"document": 0.0, "question": 0.0}
         rates = {"document": self._site.documents_per_s, "question": self._site.questions_per_s}
-        while now_s < self._site.seconds:
+        while now_s < self._site.duration_s:
             for kind, rate in rates.items():
                 while next_s[kind] <= now_s:
                     next_s[kind] += self._rng.expovariate(rate)
-                    self._ask(kind, now_s)
+                    self._send(kind, now_s)
             now_s += STEP_S
             self._step(now_s)
         self.outcome.read_tokens = sum(e.read_tokens for e in self._engines.values())
         return self.outcome
 
-    def _ask(self, kind: str, now_s: float) -> None:
-        self._number += 1
+    def _send(self, kind: str, now_s: float) -> None:
+        self._request_count += 1
         prompt, work = self._document(now_s) if kind == "document" else self._question(now_s)
         (placement,) = self._rng.choices(self._instances, self._shares)
-        subject = session_key(prompt, f"r{self._number}")
+        subject = session_key(prompt, f"r{self._request_count}")
         upstream = placement.choose(
             self._upstreams, prompt, subject, tried=frozenset(), now_s=now_s
         )
         assert upstream is not None
         placed = placement.note_started(upstream, prompt, now_s)
         self._engines[upstream.upstream_id].add(work)
-        self._running.append(_Running(kind, work, placement, placed))
+        self._running.append(_RunningRequest(kind, work, placement, placed))
 
     def _document(self, now_s: float) -> tuple[Prompt, Work]:
         session = self._rng.randrange(_SESSIONS)
@@ -191,7 +197,7 @@
         parts = (
             PromptPart(f"style-{session % _STYLES}", _STYLE_TOKENS),
             PromptPart(f"session-{session}", _SESSION_TOKENS),
-            PromptPart(f"request-{self._number}", own),
+            PromptPart(f"request-{self._request_count}", own),
         )
         total = _STYLE_TOKENS + _SESSION_TOKENS + own
         # The style is left out of the work, since every engine soon has the few styles cached.
@@ -201,39 +207,39 @@
     def _question(self, now_s: float) -> tuple[Prompt, Work]:
         own = min(3_300, int(_QUESTION_TOKENS * self._rng.lognormvariate(-0.35, 0.83)))
         answer = max(5, int(_QUESTION_ANSWER_TOKENS * self._rng.lognormvariate(-0.2, 0.62)))
-        part = PromptPart(f"request-{self._number}", own)
+        part = PromptPart(f"request-{self._request_count}", own)
         return Prompt("m", own, answer, (part,)), Work("", 0, own, answer, now_s)
 
     def _step(self, now_s: float) -> None:
         for engine in self._engines.values():
             engine.step(now_s)
-        going_on = []
+        still_running = []
         for running in self._running:
             if running.work.first_token_s is not None and running.placed.is_reading_prompt:
-                self._note_first(running)
-            if running.work.made >= running.work.answer_tokens:
+                self._note_first_token(running)
+            if running.work.generated_tokens >= running.work.answer_tokens:
                 running.placement.note_ended(running.placed)
             else:
-                going_on.append(running)
-        self._running = going_on
+                still_running.append(running)
+        self._running = still_running
 
-    def _note_first(self, running: _Running) -> None:
+    def _note_first_token(self, running: _RunningRequest) -> None:
         running.placement.note_prompt_read(running.placed)
         assert running.work.first_token_s is not None
-        took_s = running.work.first_token_s - running.work.arrived_s
+        elapsed_s = running.work.first_token_s - running.work.arrived_s
         is_document = running.kind == "document"
         objective_s = DOCUMENT_OBJECTIVE_S if is_document else QUESTION_OBJECTIVE_S
-        self.outcome.asked[running.kind] += 1
-        self.outcome.late[running.kind] += took_s > objective_s
+        self.outcome.requests[running.kind] += 1
+        self.outcome.late_requests[running.kind] += elapsed_s > objective_s
 
 
 def main(*, seeds: int = 3, site: str = "") -> None:
     """Print the share of late requests at each site."""
     print(f"{'site':14} {'documents late':>15} {'questions late':>15} {'read, Mtokens':>14}")
-    for name, played in SITES.items():
+    for name, deployment in SITES.items():
         if site and name != site:
             continue
-        outcomes = [Fleet(played, PlacementPolicy(), seed).play() for seed in range(seeds)]
+        outcomes = [Fleet(deployment, PlacementPolicy(), seed).run() for seed in range(seeds)]
         documents = sum(o.late_share("document") for o in outcomes) / seeds
         questions = sum(o.late_share("question") for o in outcomes) / seeds
         read = sum(o.read_tokens for o in outcomes) / seeds / 1e6
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -37,25 +37,25 @@
 
 def _start(fleet: Fleet, folder: Path) -> None:
     fleet.start_platform()
-    for place in ("a", "b"):
-        fleet.start_engine(f"llm-{place}", f"sto-{place}")
+    for letter in ("a", "b"):
+        fleet.start_engine(f"llm-{letter}", f"sto-{letter}")
     for name in _INSTANCES:
-        fleet.start_instance(name, name[:5], listed=False)
+        fleet.start_instance(name, name[:5], is_listed=False)
     fleet.publish_list()
     fleet.publish(write_folder(folder, fleet, paid_tokens={"lund": 200_000}))
     fleet.wait_ready(*_INSTANCES)
     wait_until(lambda: all_witnessed(fleet, data_centres=2), "no witnessed epochs")
     for name in _INSTANCES:
-        wait_until(lambda n=name: _answers(fleet, n, _SMALL_TOKENS), name)
+        wait_until(lambda n=name: _is_answered(fleet, n, _SMALL_TOKENS), name)
 
 
-def _answers(fleet: Fleet, name: str, max_tokens: int) -> bool:
+def _is_answered(fleet: Fleet, name: str, max_tokens: int) -> bool:
     return chat(fleet.processes[name].url, prompt="x", max_tokens=max_tokens).status_code == 200
 
 
 def _seconds_until(fleet: Fleet, name: str, max_tokens: int) -> float:
     started = time.monotonic()
-    wait_until(lambda: _answers(fleet, name, max_tokens), f"{name} does not serve", 60.0)
+    wait_until(lambda: _is_answered(fleet, name, max_tokens), f"{name} does not serve", 60.0)
     return time.monotonic() - started
 
 
@@ -80,14 +80,14 @@
 
 def main(rounds: int = 6, kept_cut_s: float = 2.5) -> None:
     """Print the times of each round and the maxima."""
-    found = [measure(kept_cut_s) for _ in range(rounds)]
-    for one in found:
+    recoveries = [measure(kept_cut_s) for _ in range(rounds)]
+    for recovery in recoveries:
         print(
-            f"kill to first answer {one.after_kill_s:.1f} s, heal to all {one.after_heal_s:.1f} s"
+            f"kill to first answer {recovery.after_kill_s:.1f} s, heal to all {recovery.after_heal_s:.1f} s"
         )
     print(
-        f"worst: {max(one.after_kill_s for one in found):.1f} s, "
-        f"{max(one.after_heal_s for one in found):.1f} s"
+        f"worst: {max(recovery.after_kill_s for recovery in recoveries):.1f} s, "
+        f"{max(recovery.after_heal_s for recovery in recoveries):.1f} s"
     )
 
 
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -48,7 +48,7 @@
 
 SIZES = (1_000, 4_000, 16_000)
 INSTANCES = (2, 4, 8, 12)
-_WATCH_S = 8.0
+_OBSERVED_S = 8.0
 
 
 def fit(points: list[tuple[float, float]]) -> tuple[float, float]:
@@ -101,15 +101,15 @@
     report("ledger fold, time by budgets paid and granted", "s", seconds)
 
 
-def _leader(budgets: int) -> tuple[ShardState, EscrowAgent]:
+def _make_leader(budgets: int) -> tuple[ShardState, EscrowAgent]:
     context = ShardContext(
         membership=FakeMembership(_member(1), DataCentre("a")),
         calls=NoPeers(),
         clock=FakeClock(),
         timing=TimingSection.model_validate({}),
         config=FleetConfig,
-        log_silent_s=lambda: 0.0,
-        data_centres=lambda: 2,
+        log_unreachable_s=lambda: 0.0,
+        data_centre_count=lambda: 2,
     )
     state = ShardState(Shard(0), context)
     _fill(state.fold, budgets)
@@ -123,18 +123,18 @@
 
 def ask_cost() -> None:
     """Report time of the check of a budget after a request, and of an ask for all budgets."""
-    looks, asks = [], []
+    checks, asks = [], []
     for size in SIZES:
-        state, agent = _leader(size)
+        state, agent = _make_leader(size)
         started = time.process_time()
         for number in range(500):
             agent.ask(BudgetName(f"budget-{number}"))
-        looks.append((float(size), 1e6 * (time.process_time() - started) / 500))
+        checks.append((float(size), 1e6 * (time.process_time() - started) / 500))
         state.needed_tokens[BudgetName("budget-0")] = 5000
         started = time.process_time()
         agent.ask_for_waiting()
         asks.append((float(size), 1e3 * (time.process_time() - started)))
-    report("look at a budget after a request, by budgets of the shard", "us", looks)
+    report("look at a budget after a request, by budgets of the shard", "us", checks)
     report("an ask with all budgets along, by budgets of the shard", "ms", asks)
 
 
@@ -147,15 +147,15 @@
         grant = Grant(granted_tokens=10**12)
         started = time.process_time()
         for number in range(size):
-            taken = holder.reserve(str(number), name, 10, grant=grant, lane=Lane.WITNESSED)
+            reservation = holder.reserve(str(number), name, 10, grant=grant, lane=Lane.WITNESSED)
             batch = holder.next_batch()
-            assert taken is not None
+            assert reservation is not None
             assert batch is not None
             answer = witness.apply_batch(batch, {name: grant})
             assert answer is not None
             holder.apply_answer(batch.number, answer)
-            holder.settle(taken.number, 5)
-            holder.note_posted(taken.number)
+            holder.settle(reservation.number, 5)
+            holder.note_posted(reservation.number)
         points.append((float(size), time.process_time() - started))
     report("accounts of both sides, time by requests", "s", points)
 
@@ -252,7 +252,7 @@
         with tempfile.TemporaryDirectory() as folder, Fleet(Path(folder)) as fleet:
             fleet.start_platform()
             instances = [
-                fleet.start_instance(f"i-{number}", "a", listed=False) for number in range(count)
+                fleet.start_instance(f"i-{number}", "a", is_listed=False) for number in range(count)
             ]
             fleet.publish_list()
             fleet.publish(write_folder(Path(folder) / "folder", fleet))
@@ -260,10 +260,10 @@
             time.sleep(3.0)
             pids = [instance.process.pid for instance in instances]
             used, moved = sum(map(processor_s, pids)), _loopback_bytes()
-            time.sleep(_WATCH_S)
+            time.sleep(_OBSERVED_S)
             used, moved = sum(map(processor_s, pids)) - used, _loopback_bytes() - moved
-            percent.append((float(count), 100 * used / _WATCH_S / count))
-            rate.append((float(count), moved / _WATCH_S / count / 1000))
+            percent.append((float(count), 100 * used / _OBSERVED_S / count))
+            rate.append((float(count), moved / _OBSERVED_S / count / 1000))
             resident.append((float(count), sum(map(_resident_mb, pids)) / count))
     report("idle instance, processor by instances of a data centre", "% of a core", percent)
     report("idle instance, loopback traffic by instances", "KB/s", rate)
--- a/benchmarks/test_bounds.py
+++ b/benchmarks/test_bounds.py
@@ -18,7 +18,7 @@
 
 
 @pytest.mark.parametrize("name", list(BOUNDS))
-def test_kallhanvisa(name: str) -> None:
+def test_scenario_stays_within_bounds(name: str) -> None:
     """A scenario stays within its bounds and never overspends."""
     logging.set_verbosity(logging.FATAL)
     scenario = next(scenario for scenario in SCENARIOS if scenario.name == name)
--- a/benchmarks/world.py
+++ b/benchmarks/world.py
@@ -18,8 +18,8 @@
     from mothstand.types import BudgetName
 
 STEP_S = 0.25
-WAIT_S = 1.5
-PLACES = (DataCentre("a"), DataCentre("b"), DataCentre("c"))
+MAX_WAIT_S = 1.5
+DATA_CENTRES = (DataCentre("a"), DataCentre("b"), DataCentre("c"))
 BILL_GATHER_S = 120.0
 BILL_LINES = 500
 
@@ -52,7 +52,7 @@
     served: int = 0
     true_refusals: int = 0
     false_refusals: int = 0
-    reserved_elsewhere: int = 0
+    reserved_remotely: int = 0
     stranded_tokens: int = 0
     overspent_tokens: int = 0
     ledger_appends: int = 0
@@ -73,15 +73,15 @@
 class Request:
     """A request; `handle` identifies its reservation at the ledger, None before it has one."""
 
-    place: DataCentre
+    data_centre: DataCentre
     budget: BudgetName
     bound_tokens: int
     used_tokens: int
     deadline_s: float
     ends_s: float = 0.0
     handle: object = None
-    held_at: DataCentre | None = None
-    waits_elsewhere: bool = False
+    remote_holder: DataCentre | None = None
+    waits_for_remote_grant: bool = False
 
 
 class Ledger(ABC):
@@ -100,11 +100,11 @@
         """Settle a completed request's reservation."""
 
     @abstractmethod
-    def kill(self, place: DataCentre, who: str) -> None:
+    def kill(self, data_centre: DataCentre, role: str) -> None:
         """Kill the ``holder``, the ``witness`` or ``both`` of a data centre, in all shards."""
 
     @abstractmethod
-    def cut(self, place: DataCentre, *, off: bool, alone: bool = False) -> None:
+    def cut(self, data_centre: DataCentre, *, is_cut: bool, is_isolated: bool = False) -> None:
         """Cut a data centre off from the platform, or reconnect it.
 
         Parameters
@@ -134,10 +134,10 @@
         self.now_s = 1000.0
         self._rng = random.Random(seed)
         self._paid = paid
-        self._left = dict(paid)
+        self._available_tokens = dict(paid)
         self._running: list[Request] = []
         self._waiting: list[Request] = []
-        self._names = list(paid)
+        self._budget_names = list(paid)
         self._bills: dict[DataCentre, tuple[int, float]] = {}
         # Shares of the budgets fall off as 1/rank, so a few are large.
         self._weights = [1 / rank for rank in range(1, len(paid) + 1)]
@@ -150,39 +150,45 @@
             self._end_requests()
             waiting, self._waiting = self._waiting, []
             for request in [*waiting, *self._arrivals()]:
-                self._try(request)
+                self._try_reserve(request)
 
     def top_up(self, percent: int) -> None:
         """Add a percentage of each budget's initial total."""
         tokens = {name: paid * percent // 100 for name, paid in self._paid.items()}
-        for name, more in tokens.items():
-            self._left[name] += more
+        for name, added_tokens in tokens.items():
+            self._available_tokens[name] += added_tokens
         self.ledger.top_up(tokens)
 
     def _arrivals(self) -> list[Request]:
         mean = self.demand.requests_per_s * STEP_S
         count = int(mean) + (self._rng.random() < mean - int(mean))
         skew = self.demand.skew
-        places = self._rng.choices(PLACES, (skew, (1 - skew) / 2, (1 - skew) / 2), k=count)
-        budgets = self._rng.choices(self._names, self._weights, k=count)
+        data_centres = self._rng.choices(
+            DATA_CENTRES, (skew, (1 - skew) / 2, (1 - skew) / 2), k=count
+        )
+        budgets = self._rng.choices(self._budget_names, self._weights, k=count)
         self.result.requests += count
-        return [self._request(p, b) for p, b in zip(places, budgets, strict=True)]
-
-    def _request(self, place: DataCentre, budget: BudgetName) -> Request:
-        bound = self._rng.randint(self.demand.bound_tokens // 2, self.demand.bound_tokens * 3 // 2)
-        used = min(bound, max(1, int(self._rng.expovariate(1 / self.demand.used_tokens))))
-        return Request(place, budget, bound, used, self.now_s + WAIT_S)
-
-    def _try(self, request: Request) -> None:
+        return [self._request(p, b) for p, b in zip(data_centres, budgets, strict=True)]
+
+    def _request(self, data_centre: DataCentre, budget: BudgetName) -> Request:
+        bound_tokens = self._rng.randint(
+            self.demand.bound_tokens // 2, self.demand.bound_tokens * 3 // 2
+        )
+        used_tokens = min(
+            bound_tokens, max(1, int(self._rng.expovariate(1 / self.demand.used_tokens)))
+        )
+        return Request(data_centre, budget, bound_tokens, used_tokens, self.now_s + MAX_WAIT_S)
+
+    def _try_reserve(self, request: Request) -> None:
         if self.ledger.reserve(request, self.now_s):
-            self._left[request.budget] -= request.bound_tokens
-            if self._left[request.budget] < 0:
-                self.result.overspent_tokens -= self._left[request.budget]
+            self._available_tokens[request.budget] -= request.bound_tokens
+            if self._available_tokens[request.budget] < 0:
+                self.result.overspent_tokens -= self._available_tokens[request.budget]
             request.ends_s = self.now_s + self._rng.expovariate(1 / self.demand.duration_s)
             self._running.append(request)
             self.result.served += 1
             self._bill(request)
-        elif self._left[request.budget] < request.bound_tokens:
+        elif self._available_tokens[request.budget] < request.bound_tokens:
             self.result.true_refusals += 1
         elif self.now_s < request.deadline_s:
             self._waiting.append(request)
@@ -191,13 +197,13 @@
 
     def _bill(self, request: Request) -> None:
         """Count a bill towards the next append, paced like those of `LogWriter`."""
-        lines, since_s = self._bills.get(request.place, (0, self.now_s))
+        lines, since_s = self._bills.get(request.data_centre, (0, self.now_s))
         lines += 1
         # The two instances of a data centre share its requests, and each appends its own bills.
         if lines >= 2 * BILL_LINES or self.now_s - since_s >= BILL_GATHER_S:
             self.result.bill_appends += 2
             lines, since_s = 0, self.now_s
-        self._bills[request.place] = (lines, since_s)
+        self._bills[request.data_centre] = (lines, since_s)
 
     def _end_requests(self) -> None:
         running = []
@@ -206,5 +212,5 @@
                 running.append(request)
                 continue
             self.ledger.settle(request)
-            self._left[request.budget] += request.bound_tokens - request.used_tokens
+            self._available_tokens[request.budget] += request.bound_tokens - request.used_tokens
         self._running = running
--- a/examples/deployment.py
+++ b/examples/deployment.py
@@ -19,7 +19,7 @@
 from mothstand.testing.fleet import Fleet, wait_until
 
 _EXAMPLES = Path(__file__).parent
-_INSTANCES_PER_PLACE = 2
+_INSTANCES_PER_DATA_CENTRE = 2
 
 
 @dataclass(frozen=True, slots=True)
@@ -65,20 +65,20 @@
 def start_upstreams(fleet: Fleet, deployment: Deployment, folder: Path) -> None:
     """Start engines and services, then write their sections, which need the assigned ports."""
     lines = []
-    for place in deployment.places:
+    for data_centre in deployment.places:
         for number in range(deployment.engines_per_place):
-            name = f"llm-{place}-{number}"
-            engine = fleet.start_engine(name, place, orders="fenced", load_s=0.2)
+            name = f"llm-{data_centre}-{number}"
+            engine = fleet.start_engine(name, data_centre, orders="fenced", load_s=0.2)
             lines.append(
                 f"[upstream {name}]\nkind = engine\naddress = {engine.address}\n"
-                f"data_centre = {place}\nserves = {deployment.model}\n"
+                f"data_centre = {data_centre}\nserves = {deployment.model}\n"
                 "orders = fenced\nresumes = yes\nslots = 16\n"
             )
-        name = f"{deployment.service}-{place}"
-        service = fleet.start_service(name, place)
+        name = f"{deployment.service}-{data_centre}"
+        service = fleet.start_service(name, data_centre)
         lines.append(
             f"[upstream {name}]\nkind = service\naddress = {service.address}\n"
-            f"data_centre = {place}\nserves = {deployment.service}\n"
+            f"data_centre = {data_centre}\nserves = {deployment.service}\n"
         )
     (folder / "20-upstreams.ini").write_text("\n".join(lines), encoding="utf-8")
 
@@ -86,10 +86,10 @@
 def start_instances(fleet: Fleet, deployment: Deployment) -> list[str]:
     """Start the entry instances and return their names."""
     names = []
-    for place in deployment.places:
-        for number in range(1, _INSTANCES_PER_PLACE + 1):
-            name = f"{place}-{number}"
-            fleet.start_instance(name, place, listed=False)
+    for data_centre in deployment.places:
+        for number in range(1, _INSTANCES_PER_DATA_CENTRE + 1):
+            name = f"{data_centre}-{number}"
+            fleet.start_instance(name, data_centre, listed=False)
             names.append(name)
     fleet.publish_list()
     return names
--- a/examples/run.py
+++ b/examples/run.py
@@ -17,14 +17,14 @@
 from mothstand.testing.fleet import Fleet
 
 EXAMPLE = Path(__file__).parent / "kallhanvisa"
-PLACES = {"llm-a": "sto-a", "llm-b": "sto-b", "formatter-a": "sto-a"}
+DATA_CENTRES = {"llm-a": "sto-a", "llm-b": "sto-b", "formatter-a": "sto-a"}
 PROMPT = "Rewrite in APA: Andersson, K. Om källor. Lund 2019."
 
 
 def write_upstreams(fleet: Fleet, folder: Path) -> None:
     """Write the upstreams' sections, which need the assigned ports."""
     lines = []
-    for name, data_centre in PLACES.items():
+    for name, data_centre in DATA_CENTRES.items():
         kind = "engine" if name.startswith("llm") else "service"
         serves = "citation-7b" if kind == "engine" else "format"
         lines.append(
@@ -59,22 +59,22 @@
         fleet.start_engine("llm-b", "sto-b")
         fleet.start_service("formatter-a", "sto-a")
         write_upstreams(fleet, folder)
-        one = fleet.start_instance("sto-a-1", "sto-a")
-        two = fleet.start_instance("sto-b-1", "sto-b")
+        first = fleet.start_instance("sto-a-1", "sto-a")
+        second = fleet.start_instance("sto-b-1", "sto-b")
         published = fleet.publish(folder)
         print(published.stdout, published.stderr, sep="", end="")
         fleet.wait_ready("sto-a-1", "sto-b-1")
 
-        answer = ask(one.url, "lund-key", max_tokens=24)
+        answer = ask(first.url, "lund-key", max_tokens=24)
         print("answer:", answer.status_code, answer.json()["choices"][0]["message"]["content"])
         print("usage: ", answer.json()["usage"])
-        refused = ask(two.url, "lund-key", max_tokens=5000)
+        refused = ask(second.url, "lund-key", max_tokens=5000)
         print("refusal:", refused.status_code, refused.json()["error"]["message"])
         print("run state:", refused.json()["error"]["run_state"])
         time.sleep(2.5)
         status = fleet.run_command("status", f"--settings={fleet.operator_settings()}")
         print(status.stdout, status.stderr, sep="", end="")
-        exit_codes = (one.terminate(), two.terminate())
+        exit_codes = (first.terminate(), second.terminate())
         ok = answer.status_code == 200 and refused.status_code == 402 and exit_codes == (0, 0)
         if not ok:
             for log in sorted(Path(temporary).glob("*.log")):
--- a/mothstand/cli.py
+++ b/mothstand/cli.py
@@ -23,7 +23,7 @@
 from .log.instances import HttpInstanceList
 from .operators.explain import explain, explanation_lines
 from .operators.log_view import read_all, read_config
-from .operators.publish import InForce, Publisher, wait_in_force
+from .operators.publish import Publisher, RolloutStatus, wait_in_force
 from .operators.release import release
 from .operators.reports import audit_lines, budget_lines, epoch_lines, stranded_lines
 from .peers.client import GrpcPeers
@@ -225,7 +225,7 @@
         peers,
         SystemClock(),
         operator=name,
-        me=Member(name, f"{name}:operator", ""),
+        local_member=Member(name, f"{name}:operator", ""),
         shard_count=operator.operator.ledger_shards,
         shard=shard,
         epoch=epoch,
@@ -234,7 +234,7 @@
     if not released.outcome.accepted:
         print(f"refused: {released.outcome.reason}", file=sys.stderr)
         return EXIT_REFUSED
-    for budget, tokens in released.tokens.items():
+    for budget, tokens in released.returned_tokens.items():
         print(f"{budget}: {tokens} tokens given back")
     return 0
 
@@ -255,20 +255,25 @@
     listing = HttpInstanceList(operator.platform.address, caller="operator", timeout_s=2.0)
     peers = GrpcPeers(operator.secrets.fleet_key)
     seen = await wait_in_force(
-        published.offset, listing, peers, clock, timeout_s=timeout_s, progress=_print_progress
+        published.offset,
+        listing,
+        peers,
+        clock,
+        timeout_s=timeout_s,
+        report_progress=_print_progress,
     )
     peers.close()
-    if seen.everywhere:
-        print(f"in force on all {len(seen.reached)} instances")
+    if seen.is_complete:
+        print(f"in force on all {len(seen.up_to_date)} instances")
         return 0
     print(f"behind: {', '.join(seen.behind) or 'none'}", file=sys.stderr)
-    print(f"cannot be seen: {', '.join(seen.silent) or 'none'}", file=sys.stderr)
+    print(f"cannot be seen: {', '.join(seen.unresponsive) or 'none'}", file=sys.stderr)
     return EXIT_NOT_IN_FORCE
 
 
-def _print_progress(seen: InForce) -> None:
-    total = len(seen.reached) + len(seen.behind) + len(seen.silent)
-    print(f"in force on {len(seen.reached)} of {total}")
+def _print_progress(seen: RolloutStatus) -> None:
+    total = len(seen.up_to_date) + len(seen.behind) + len(seen.unresponsive)
+    print(f"in force on {len(seen.up_to_date)} of {total}")
 
 
 def main() -> None:
--- a/mothstand/core/membership.py
+++ b/mothstand/core/membership.py
@@ -99,8 +99,10 @@
         and never tokens.
     """
 
-    def __init__(self, me: Member, data_centre: DataCentre, suspect_after_s: float) -> None:
-        self.local_member = me
+    def __init__(
+        self, local_member: Member, data_centre: DataCentre, suspect_after_s: float
+    ) -> None:
+        self.local_member = local_member
         self.data_centre = data_centre
         self.suspect_after_s = suspect_after_s
         self.peers: dict[str, PeerState] = {}
@@ -131,7 +133,7 @@
                 name=member.name, address=member.address, data_centre=data_centre, seen_at_s=now_s
             )
 
-    def note_response(self, member: Member, *, leaving: bool, now_s: float) -> bool:
+    def note_response(self, member: Member, *, is_stopping: bool, now_s: float) -> bool:
         """Take a heartbeat answer; return whether the peer was not alive before."""
         peer = self.peers.get(member.name)
         if peer is None:
@@ -139,7 +141,7 @@
         was_alive = self._has_responded_recently(peer, now_s) and peer.member == member
         peer.member = member
         peer.seen_at_s = now_s
-        peer.is_stopping = leaving
+        peer.is_stopping = is_stopping
         return not was_alive
 
     def is_alive(self, member: Member, now_s: float) -> bool:
--- a/mothstand/entry/answers.py
+++ b/mothstand/entry/answers.py
@@ -43,7 +43,7 @@
     return b"data: " + refusal_body(refusal) + b"\n\n"
 
 
-async def send_whole(send: Send, status: int, headers: dict[str, str], body: bytes) -> None:
+async def send_complete(send: Send, status: int, headers: dict[str, str], body: bytes) -> None:
     """Send an answer in one piece."""
     pairs = [(k.encode("latin-1"), v.encode("latin-1")) for k, v in headers.items()]
     pairs.append((b"content-length", str(len(body)).encode()))
@@ -56,4 +56,4 @@
     headers = refusal_headers(refusal)
     if request_id:
         headers[REQUEST_ID_HEADER] = request_id
-    await send_whole(send, refusal.answer.status, headers, refusal_body(refusal))
+    await send_complete(send, refusal.answer.status, headers, refusal_body(refusal))
--- a/mothstand/entry/app.py
+++ b/mothstand/entry/app.py
@@ -22,7 +22,7 @@
 from .chat import ChatRun
 from .context import Caller, CallerRequest
 from .services import ServiceRun
-from .sinks import AnswerSink, CallerSink, KeepingSink
+from .sinks import AnswerSink, CallerSink, RetainingSink
 
 if TYPE_CHECKING:
     from starlette.responses import Response
@@ -34,7 +34,7 @@
 
 #: Says that another instance passed the request on, so that it is not passed on again.
 FORWARDED_HEADER = "x-mothstand-forwarded"
-_MOST_KEY_CHARACTERS = 255
+_MAX_KEY_CHARACTERS = 255
 
 
 class Run(Protocol):
@@ -56,13 +56,13 @@
         """Serve one request; every way out is an answer."""
         request = Request(scope, receive)
         activity = self._context.activity
-        activity.running += 1
+        activity.running_requests += 1
         started_s = self._context.clock.monotonic_s()
         sink = CallerSink(send)
         try:
             self._admit()
-            taken = await self._take(request)
-            await self._serve(request, taken, sink, send)
+            caller_request = await self._read_request(request)
+            await self._serve(request, caller_request, sink, send)
         except RefusedError as error:
             await self._refuse(sink, send, error.refusal)
         except ClientDisconnect:
@@ -71,12 +71,12 @@
             emit(Event.INTERNAL_ERROR, error=repr(error))
             await self._refuse(sink, send, Refusal(ErrorKind.INTERNAL))
         finally:
-            activity.running -= 1
+            activity.running_requests -= 1
             elapsed_s = self._context.clock.monotonic_s() - started_s
             record_s(self._context.metrics.whole_us, elapsed_s)
 
     @abstractmethod
-    def make_run(self, request: Request, taken: CallerRequest) -> Run:
+    def make_run(self, request: Request, caller_request: CallerRequest) -> Run:
         """Return the parsed request.
 
         Raises
@@ -86,28 +86,28 @@
         """
 
     def _admit(self) -> None:
-        if self._context.activity.stopping:
+        if self._context.activity.is_refusing:
             raise RefusedError(Refusal(ErrorKind.STOPPING))
         if self._context.config().offset == 0:
             raise RefusedError(Refusal(ErrorKind.NOT_READY))
 
-    async def _take(self, request: Request) -> CallerRequest:
+    async def _read_request(self, request: Request) -> CallerRequest:
         caller = self._context.authenticate(request.headers.get("authorization", ""))
         body = await self._read_body(request)
         key = request.headers.get("idempotency-key", "")
-        if len(key) > _MOST_KEY_CHARACTERS:
+        if len(key) > _MAX_KEY_CHARACTERS:
             raise RefusedError(
                 Refusal(
                     ErrorKind.MALFORMED_REQUEST,
-                    f"Idempotency-Key has {len(key)} characters of at most {_MOST_KEY_CHARACTERS}",
+                    f"Idempotency-Key has {len(key)} characters of at most {_MAX_KEY_CHARACTERS}",
                 )
             )
         return CallerRequest(
             caller=caller,
             body=body,
             request_id=self._request_id(caller, key, request.url.path),
-            keyed=bool(key),
-            forwarded=FORWARDED_HEADER in request.headers,
+            is_keyed=bool(key),
+            is_forwarded=FORWARDED_HEADER in request.headers,
         )
 
     def _request_id(self, caller: Caller, key: str, path: str) -> str:
@@ -117,83 +117,87 @@
         return f"{caller.workspace.name}/key-{digest}"
 
     async def _read_body(self, request: Request) -> bytes:
-        most = self._context.config().config.max_body_bytes
+        max_bytes = self._context.config().config.max_body_bytes
         body = bytearray()
         async for piece in request.stream():
             body += piece
-            if len(body) > most:
-                raise RefusedError(Refusal(ErrorKind.BODY_TOO_LARGE, f"more than {most} bytes"))
+            if len(body) > max_bytes:
+                raise RefusedError(
+                    Refusal(ErrorKind.BODY_TOO_LARGE, f"more than {max_bytes} bytes")
+                )
         return bytes(body)
 
     async def _serve(
-        self, request: Request, taken: CallerRequest, sink: AnswerSink, send: Send
+        self, request: Request, caller_request: CallerRequest, sink: AnswerSink, send: Send
     ) -> None:
-        if not taken.keyed:
-            run = self.make_run(request, taken)
-            await _until_disconnect(request, run, sink)
+        if not caller_request.is_keyed:
+            run = self.make_run(request, caller_request)
+            await _run_until_disconnect(request, run, sink)
             return
-        kept = self._context.answers.find(taken.request_id)
-        if kept is not None:
-            if kept.body_digest != taken.body_digest:
+        answer = self._context.answers.find(caller_request.request_id)
+        if answer is not None:
+            if answer.body_digest != caller_request.body_digest:
                 raise RefusedError(Refusal(ErrorKind.KEY_REUSED))
-            await kept.follow(send)
+            await answer.follow(send)
             return
-        await self._serve_keyed(request, taken, send)
+        await self._serve_keyed(request, caller_request, send)
 
-    async def _serve_keyed(self, request: Request, taken: CallerRequest, send: Send) -> None:
+    async def _serve_keyed(
+        self, request: Request, caller_request: CallerRequest, send: Send
+    ) -> None:
         """Run apart from the caller's connection, so that a retry can join the answer."""
-        run = self.make_run(request, taken)
-        kept = self._context.answers.open(taken.request_id, taken.body_digest)
+        run = self.make_run(request, caller_request)
+        answer = self._context.answers.add(caller_request.request_id, caller_request.body_digest)
         known: list[KnownKey] = []
 
         async def produce() -> None:
-            keeping = KeepingSink(kept)
+            keeping = RetainingSink(answer)
             # Its caller may have gone, but a stop waits for it all the same.
-            self._context.activity.running += 1
+            self._context.activity.running_requests += 1
             try:
                 await run.run(keeping)
             except KnownKeyError as error:
                 known.append(error.known)
-                self._context.answers.drop(taken.request_id)
+                self._context.answers.drop(caller_request.request_id)
                 await keeping.end()
             except RefusedError as error:
                 # Not kept: the same key may be tried again, except where it may have run.
-                self._context.answers.drop(taken.request_id)
-                await self._keep_refusal(keeping, error.refusal)
+                self._context.answers.drop(caller_request.request_id)
+                await self._retain_refusal(keeping, error.refusal)
             except Exception as error:
                 emit(Event.INTERNAL_ERROR, error=repr(error))
-                self._context.answers.drop(taken.request_id)
-                await self._keep_refusal(keeping, Refusal(ErrorKind.INTERNAL))
+                self._context.answers.drop(caller_request.request_id)
+                await self._retain_refusal(keeping, Refusal(ErrorKind.INTERNAL))
             finally:
-                self._context.activity.running -= 1
-            if not kept.status:
-                kept.status = ANSWERED_ELSEWHERE
-                kept.announce()
+                self._context.activity.running_requests -= 1
+            if not answer.status:
+                answer.status = ANSWERED_BY_PEER
+                answer.notify_followers()
 
         self._context.spawn(produce())
-        while not kept.status:
-            await kept.wait()
-        if kept.status == ANSWERED_ELSEWHERE:
-            await self._join_elsewhere(request, taken, known[0] if known else None, send)
+        while not answer.status:
+            await answer.wait()
+        if answer.status == ANSWERED_BY_PEER:
+            await self._forward_to_owner(request, caller_request, known[0] if known else None, send)
             return
-        await kept.follow(send)
+        await answer.follow(send)
 
-    async def _keep_refusal(self, sink: AnswerSink, refusal: Refusal) -> None:
+    async def _retain_refusal(self, sink: AnswerSink, refusal: Refusal) -> None:
         self._count_refusal(refusal)
-        if sink.started:
+        if sink.has_started:
             await sink.end()
             return
-        await sink.send_whole(
+        await sink.send_complete(
             refusal.answer.status, refusal_headers(refusal), refusal_body(refusal)
         )
 
-    async def _join_elsewhere(
-        self, request: Request, taken: CallerRequest, known: KnownKey | None, send: Send
+    async def _forward_to_owner(
+        self, request: Request, caller_request: CallerRequest, known: KnownKey | None, send: Send
     ) -> None:
         """Pass a retry on to the instance that runs or ran its key."""
-        address = "" if known is None else self._context.owner_of(known)
-        here = self._context.membership.local_member.callers_address
-        if known is None or not address or address == here or taken.forwarded:
+        address = "" if known is None else self._context.owner_address(known)
+        local_address = self._context.membership.local_member.callers_address
+        if known is None or not address or address == local_address or caller_request.is_forwarded:
             raise RefusedError(_not_joinable(known))
         headers = {
             name: request.headers[name]
@@ -205,25 +209,25 @@
         url = f"http://{address}{request.url.path}"
         try:
             async with self._forward.stream(
-                "POST", url, content=taken.body, headers=headers
+                "POST", url, content=caller_request.body, headers=headers
             ) as response:
-                passed = {
+                passed_headers = {
                     name: value
                     for name, value in response.headers.items()
-                    if name in _PASSED_HEADERS
+                    if name in _FORWARDED_HEADERS
                 }
-                await sink.start(response.status_code, passed)
+                await sink.start(response.status_code, passed_headers)
                 async for piece in response.aiter_raw():
                     await sink.send(piece)
                 await sink.end()
         except httpx.HTTPError as error:
-            if sink.started:
+            if sink.has_started:
                 raise
             raise RefusedError(_not_joinable(known)) from error
 
     async def _refuse(self, sink: AnswerSink, send: Send, refusal: Refusal) -> None:
         self._count_refusal(refusal)
-        if not sink.started:
+        if not sink.has_started:
             await send_refusal(send, refusal)
 
     def _count_refusal(self, refusal: Refusal) -> None:
@@ -232,20 +236,20 @@
 
 
 #: Pseudo status of a kept answer that is another instance's to give.
-ANSWERED_ELSEWHERE = -1
+ANSWERED_BY_PEER = -1
 
-_PASSED_HEADERS = frozenset(
+_FORWARDED_HEADERS = frozenset(
     {"content-type", "content-length", "x-request-id", "retry-after", "x-should-retry"}
 )
 
 
 def _not_joinable(known: KnownKey | None) -> Refusal:
-    if known is None or not known.finished:
+    if known is None or not known.is_finished:
         return Refusal(ErrorKind.KEY_RUNNING)
     return Refusal(ErrorKind.ANSWER_NOT_KEPT)
 
 
-async def _until_disconnect(request: Request, run: Run, sink: AnswerSink) -> None:
+async def _run_until_disconnect(request: Request, run: Run, sink: AnswerSink) -> None:
     """Run a request; cancel it, down to the upstream's connection, when its caller goes away."""
     refused: RefusedError | None = None
     async with anyio.create_task_group() as tasks:
@@ -269,29 +273,31 @@
 class ChatEndpoint(Endpoint):
     """``POST /v1/chat/completions``."""
 
-    def make_run(self, request: Request, taken: CallerRequest) -> Run:
+    def make_run(self, request: Request, caller_request: CallerRequest) -> Run:
         """Return the parsed chat completion."""
-        return ChatRun(self._context, taken)
+        return ChatRun(self._context, caller_request)
 
 
 class ServiceEndpoint(Endpoint):
     """``POST /services/NAME/PATH``."""
 
-    def make_run(self, request: Request, taken: CallerRequest) -> Run:
+    def make_run(self, request: Request, caller_request: CallerRequest) -> Run:
         """Return the call."""
         path = "/" + request.path_params["path"]
-        return ServiceRun(self._context, self._claims, taken, request.path_params["service"], path)
+        return ServiceRun(
+            self._context, self._claims, caller_request, request.path_params["service"], path
+        )
 
 
 def make_app(context: EntryContext, claims: IntentClaims) -> ASGIApp:
     """Return the application of one instance."""
 
     async def health(_: Request) -> Response:
-        ready = context.config().offset > 0 and not context.activity.leaving
+        ready = context.config().offset > 0 and not context.activity.is_stop_announced
         body = {
             "ready": ready,
-            "leaving": context.activity.leaving,
-            "running": context.activity.running,
+            "leaving": context.activity.is_stop_announced,
+            "running": context.activity.running_requests,
             "config_offset": context.config().offset,
             "instance": context.membership.local_member.name,
             "data_centre": context.membership.data_centre,
--- a/mothstand/entry/budgeted.py
+++ b/mothstand/entry/budgeted.py
@@ -27,7 +27,7 @@
 _T = TypeVar("_T")
 
 #: Upstreams that one request tries at most: retries must not multiply an overload.
-MOST_ATTEMPTS = 3
+MAX_ATTEMPTS = 3
 
 
 class KnownKeyError(Exception):
@@ -76,7 +76,7 @@
             self._request.caller.key.budget,
             self._request.request_id,
             self._bound_tokens,
-            keyed=self._request.keyed,
+            is_keyed=self._request.is_keyed,
         )
         elapsed_s = self._context.clock.monotonic_s() - started_s
         record_s(self._context.metrics.reserve_us, elapsed_s)
@@ -115,7 +115,7 @@
     chosen = context.router.choose(
         call,
         state.config,
-        sharers=context.sharers(),
+        sharers=context.sharer_count(),
         now_utc=context.clock.now(),
         now_s=context.clock.monotonic_s(),
     )
@@ -135,7 +135,7 @@
         self._context = context
         self._upstream = upstream
         self._started_s = 0.0
-        self.failed = False
+        self.has_failed = False
 
     def __enter__(self) -> Attempt:
         """Count the request."""
@@ -151,21 +151,21 @@
     ) -> None:
         """Count its end."""
         now_s = self._context.clock.monotonic_s()
-        took_s = now_s - self._started_s
+        elapsed_s = now_s - self._started_s
         self._context.router.note_ended(
-            self._upstream.name, failed=self.failed, elapsed_s=took_s, now_s=now_s
+            self._upstream.name, failed=self.has_failed, elapsed_s=elapsed_s, now_s=now_s
         )
 
-    def heard(self, response: httpx.Response) -> None:
+    def apply_load_report(self, response: httpx.Response) -> None:
         """Take what the answer's headers say of the upstream's load."""
         load = read_load(response.headers.get(LOAD_HEADER, ""))
         if load is not None:
             now_s = self._context.clock.monotonic_s()
             self._context.router.note_load_report(self._upstream.name, load, now_s)
 
-    def fail(self, error: Exception) -> None:
+    def note_failure(self, error: Exception) -> None:
         """Count a failure of the upstream."""
-        self.failed = True
+        self.has_failed = True
         emit(Event.UPSTREAM_FAILED, upstream=self._upstream.name, error=str(error))
 
 
@@ -191,22 +191,22 @@
         attempt can have reached an upstream.
     """
     tried: frozenset[str] = frozenset()
-    last: Exception | None = None
+    last_error: Exception | None = None
     may_have_run = False
-    for number in range(1, MOST_ATTEMPTS + 1):
+    for number in range(1, MAX_ATTEMPTS + 1):
         try:
             upstream = choose_upstream(context, request, route(tried))
         except RefusedError:
-            if last is None:
+            if last_error is None:
                 raise
             break
         try:
             return await attempt(upstream, number)
         except NotRunError as error:
-            last = error
+            last_error = error
         except MayHaveRunError as error:
-            last = error
+            last_error = error
             may_have_run = True
         tried |= {upstream.name}
     kind = ErrorKind.OUTCOME_UNKNOWN if may_have_run else ErrorKind.NO_UPSTREAM
-    raise RefusedError(Refusal(kind, f"{len(tried)} tried; the last: {last}")) from last
+    raise RefusedError(Refusal(kind, f"{len(tried)} tried; the last: {last_error}")) from last_error
--- a/mothstand/entry/chat.py
+++ b/mothstand/entry/chat.py
@@ -42,7 +42,7 @@
         self._started_s = context.clock.monotonic_s()
         self._config: FleetConfig = context.config().config
         self._body = self._parse(request.body)
-        self._so_far = PartialAnswer()
+        self._partial_answer = PartialAnswer()
         self._max_tokens = (
             self._body.max_completion_tokens
             or self._body.max_tokens
@@ -93,7 +93,7 @@
             prefix=self._body.prefix,
             priority=self._request.caller.workspace.priority,
             tried_upstreams=tried,
-            must_resume=self._so_far.has_begun,
+            must_resume=self._partial_answer.has_begun,
         )
 
     async def _dispatch(self, charge: Charge, sink: AnswerSink) -> None:
@@ -105,9 +105,9 @@
         try:
             await try_upstreams(self._context, self._request, self._route, attempt)
         except RefusedError as refused:
-            if not sink.started:
+            if not sink.has_started:
                 raise
-            await self._break_off(sink, refused.refusal.detail)
+            await self._end_broken_answer(sink, refused.refusal.detail)
 
     async def _attempt(
         self, upstream: Upstream, number: int, charge: Charge, sink: AnswerSink
@@ -122,33 +122,35 @@
                     upstream, ENGINE_PATH, self._engine_body(), headers=headers
                 )
                 async with sending as response:
-                    attempt.heard(response)
+                    attempt.apply_load_report(response)
                     _check_loaded(upstream, response)
-                    await self._take(response, charge, sink)
+                    await self._relay_answer(response, charge, sink)
             except NotRunError as error:
-                attempt.fail(error)
+                attempt.note_failure(error)
                 raise
             except (MayHaveRunError, BrokenStreamError) as error:
-                attempt.fail(error)
-                if self._so_far.is_complete(self._max_tokens):
-                    await sink.send(self._so_far.closing_events(wants_usage=self._wants_usage))
+                attempt.note_failure(error)
+                if self._partial_answer.is_complete(self._max_tokens):
+                    await sink.send(
+                        self._partial_answer.closing_events(wants_usage=self._wants_usage)
+                    )
                     await sink.end()
                     return
-                self._check_goes_on(sink, upstream, error)
+                self._check_can_continue(sink, upstream, error)
                 raise MayHaveRunError(str(error)) from error
 
-    def _check_goes_on(self, sink: AnswerSink, upstream: Upstream, error: Exception) -> None:
+    def _check_can_continue(self, sink: AnswerSink, upstream: Upstream, error: Exception) -> None:
         """Refuse if an answer that has begun cannot be gone on with by another engine."""
-        if not sink.started:
-            self._so_far = PartialAnswer()
+        if not sink.has_started:
+            self._partial_answer = PartialAnswer()
             return
-        if not (self._so_far.can_continue and self._body.can_continue):
+        if not (self._partial_answer.can_continue and self._body.can_continue):
             raise RefusedError(Refusal(ErrorKind.ANSWER_BROKEN, str(error))) from error
         emit(
             Event.ANSWER_CONTINUED,
             request_id=self._request.request_id,
             upstream=upstream.name,
-            left_tokens=self._left_tokens(),
+            left_tokens=self._remaining_tokens(),
         )
 
     @property
@@ -156,20 +158,22 @@
         options = self._body.stream_options
         return bool(options and options.include_usage)
 
-    def _left_tokens(self) -> int:
-        usage = self._so_far.usage
+    def _remaining_tokens(self) -> int:
+        usage = self._partial_answer.usage
         return self._max_tokens - (usage.completion_tokens if usage is not None else 0)
 
     def _engine_body(self) -> bytes:
         return engine_body(
             self._request.body,
-            max_tokens=self._left_tokens(),
+            max_tokens=self._remaining_tokens(),
             priority=self._request.caller.workspace.priority,
             stream=self._body.stream,
-            text_so_far=self._so_far.text,
+            partial_text=self._partial_answer.text,
         )
 
-    async def _take(self, response: httpx.Response, charge: Charge, sink: AnswerSink) -> None:
+    async def _relay_answer(
+        self, response: httpx.Response, charge: Charge, sink: AnswerSink
+    ) -> None:
         if response.status_code in NOT_RUN_STATUSES:
             raise NotRunError(f"the engine says that it did not run it: {response.status_code}")
         if response.status_code >= 500:
@@ -179,11 +183,13 @@
             detail = body[:200].decode(errors="replace")
             raise RefusedError(Refusal(ErrorKind.UPSTREAM_REFUSED, detail))
         if self._body.stream:
-            await self._take_stream(response, charge, sink)
+            await self._relay_stream(response, charge, sink)
         else:
-            await self._take_whole(response, charge, sink)
+            await self._relay_complete(response, charge, sink)
 
-    async def _take_whole(self, response: httpx.Response, charge: Charge, sink: AnswerSink) -> None:
+    async def _relay_complete(
+        self, response: httpx.Response, charge: Charge, sink: AnswerSink
+    ) -> None:
         body = await response.aread()
         try:
             usage = read_usage(json.loads(body))
@@ -192,34 +198,34 @@
         # An engine that reports no usage is billed for at the bound: less could be untrue.
         charge.used_tokens = usage.total_tokens if usage else charge.bound_tokens
         self._note_first_byte()
-        await sink.send_whole(200, self._answer_headers("application/json"), body)
+        await sink.send_complete(200, self._answer_headers("application/json"), body)
 
-    async def _take_stream(
+    async def _relay_stream(
         self, response: httpx.Response, charge: Charge, sink: AnswerSink
     ) -> None:
-        check = StreamCheck(wants_usage=self._wants_usage, prior_answer=self._so_far)
+        check = StreamCheck(wants_usage=self._wants_usage, prior_answer=self._partial_answer)
         async for data in response.aiter_raw():
             try:
-                kept = check.feed(data)
+                events = check.feed(data)
             except BrokenStreamError as error:
-                await self._pass_on(error.valid_events, check, charge, sink)
+                await self._relay_events(error.valid_events, check, charge, sink)
                 raise
-            await self._pass_on(kept, check, charge, sink)
+            await self._relay_events(events, check, charge, sink)
         check.finish()
         if not check.has_reported_usage:
             charge.used_tokens = charge.bound_tokens
         await sink.end()
 
-    async def _pass_on(
-        self, kept: bytes, check: StreamCheck, charge: Charge, sink: AnswerSink
+    async def _relay_events(
+        self, events: bytes, check: StreamCheck, charge: Charge, sink: AnswerSink
     ) -> None:
         if check.usage is not None:
             charge.used_tokens = check.usage.total_tokens
-        if kept:
-            if not sink.started:
+        if events:
+            if not sink.has_started:
                 self._note_first_byte()
                 await sink.start(200, self._answer_headers("text/event-stream"))
-            await sink.send(kept)
+            await sink.send(events)
         if charge.used_tokens > charge.bound_tokens:
             detail = "the engine went past the request's max_tokens"
             raise RefusedError(Refusal(ErrorKind.ANSWER_BROKEN, detail))
@@ -232,7 +238,7 @@
         record_s(self._context.metrics.first_byte_us, elapsed_s)
         self._context.metrics.counts["answers"] += 1
 
-    async def _break_off(self, sink: AnswerSink, detail: str) -> None:
+    async def _end_broken_answer(self, sink: AnswerSink, detail: str) -> None:
         """End an answer that cannot be completed as what it is, never as if it were whole."""
         refusal = Refusal(ErrorKind.ANSWER_BROKEN, detail)
         emit(Event.ANSWER_BROKEN, request_id=self._request.request_id, detail=detail)
--- a/mothstand/entry/chat_body.py
+++ b/mothstand/entry/chat_body.py
@@ -57,12 +57,14 @@
         Not where the answer is more than text, or made under a grammar that would start anew.
         """
         extra = self.model_extra or {}
-        ends_open = self.messages[-1].role == "assistant"
-        return not ends_open and not any(extra.get(name) for name in _MORE_THAN_TEXT)
+        ends_with_assistant = self.messages[-1].role == "assistant"
+        return not ends_with_assistant and not any(
+            extra.get(name) for name in _FIELDS_THAT_PREVENT_CONTINUING
+        )
 
 
 #: Fields of a body by which its answer is more than text, or bound to a grammar.
-_MORE_THAN_TEXT = (
+_FIELDS_THAT_PREVENT_CONTINUING = (
     "tools",
     "functions",
     "response_format",
@@ -76,7 +78,7 @@
 
 
 def engine_body(
-    body: bytes, *, max_tokens: int, priority: int, stream: bool, text_so_far: str = ""
+    body: bytes, *, max_tokens: int, priority: int, stream: bool, partial_text: str = ""
 ) -> bytes:
     """Return the body that an engine gets.
 
@@ -99,8 +101,8 @@
     if stream:
         # Usage with each event: what a cut stream has cost is known at any moment.
         value["stream_options"] = {"include_usage": True, "continuous_usage_stats": True}
-    if text_so_far:
-        value["messages"].append({"role": "assistant", "content": text_so_far})
+    if partial_text:
+        value["messages"].append({"role": "assistant", "content": partial_text})
         value["continue_final_message"] = True
         value["add_generation_prompt"] = False
     return json.dumps(value, ensure_ascii=False).encode()
--- a/mothstand/entry/configuration.py
+++ b/mothstand/entry/configuration.py
@@ -52,7 +52,7 @@
             return
         outcome = self.fold.apply(offset, record)
         if outcome.accepted:
-            self._take(self.fold.state)
+            self._apply(self.fold.state)
         else:
             emit(Event.CONFIG_REFUSED, offset=offset, reason=outcome.reason)
 
@@ -60,7 +60,7 @@
         """Take the configuration from a snapshot, in place of the trimmed records."""
         self.fold.load(snapshot)
         self._read_offset = self._snapshot_offset = snapshot.at_offset
-        self._take(self.fold.state)
+        self._apply(self.fold.state)
 
     def snapshot_if_due(self, writer: LogWriter[ConfigSnapshot], turn: int, now_s: float) -> None:
         """Append a snapshot once enough has come, or long enough has passed, since the last.
@@ -70,9 +70,13 @@
         turn
             Place of this instance in the fleet's order: the first is due first.
         """
-        behind = self._read_offset - self._snapshot_offset
-        old = now_s - self._snapshot_at_s > SNAPSHOT_EVERY_S * (1 + turn)
-        if self._snapshot_at_s and behind < SNAPSHOT_EVERY_RECORDS * (1 + turn) and not old:
+        record_count = self._read_offset - self._snapshot_offset
+        is_old = now_s - self._snapshot_at_s > SNAPSHOT_EVERY_S * (1 + turn)
+        if (
+            self._snapshot_at_s
+            and record_count < SNAPSHOT_EVERY_RECORDS * (1 + turn)
+            and not is_old
+        ):
             return
         if self._snapshot_at_s and self.fold.state.offset:
             at_offset = self._read_offset
@@ -89,9 +93,9 @@
         if newer is None:
             return
         config = validate_sections(newer.sections)
-        self._take(ConfigState(newer.offset, newer.sections, config))
+        self._apply(ConfigState(newer.offset, newer.sections, config))
 
-    def _take(self, state: ConfigState) -> None:
+    def _apply(self, state: ConfigState) -> None:
         if state.offset <= self._state.offset:
             # The log, read from its start, lags behind what a peer handed over: never revert.
             return
--- a/mothstand/entry/context.py
+++ b/mothstand/entry/context.py
@@ -49,8 +49,8 @@
     caller: Caller
     body: bytes
     request_id: str
-    keyed: bool
-    forwarded: bool
+    is_keyed: bool
+    is_forwarded: bool
 
     @property
     def body_digest(self) -> str:
@@ -70,9 +70,9 @@
         What comes is refused.
     """
 
-    running: int = 0
-    leaving: bool = False
-    stopping: bool = False
+    running_requests: int = 0
+    is_stop_announced: bool = False
+    is_refusing: bool = False
 
 
 @dataclass(slots=True)
@@ -113,11 +113,11 @@
             raise RefusedError(Refusal(ErrorKind.UNAUTHORIZED))
         return Caller(found, config.workspaces[found.workspace])
 
-    def sharers(self) -> int:
+    def sharer_count(self) -> int:
         """Return how many instances share this data centre's upstreams."""
         return max(1, len(self.membership.local_alive(self.clock.monotonic_s())))
 
-    def owner_of(self, known: KnownKey) -> str:
+    def owner_address(self, known: KnownKey) -> str:
         """Return the callers' address of the instance that runs or ran a keyed request, or ""."""
         member = self.membership.find(known.owner, self.clock.monotonic_s())
         return "" if member is None else member.callers_address
--- a/mothstand/entry/heartbeats.py
+++ b/mothstand/entry/heartbeats.py
@@ -21,7 +21,7 @@
     from ..peers.client import GrpcPeers
     from ..settings.instance import TimingSection
 
-_LIST_EVERY_S = 1.0
+_LIST_INTERVAL_S = 1.0
 
 
 class Heartbeats:
@@ -50,7 +50,7 @@
         partners: Callable[[], set[str]],
         seeds: tuple[str, ...] = (),
     ) -> None:
-        self.probed = False
+        self.has_probed = False
         self._membership = membership
         self._router = router
         self._listing = listing
@@ -66,7 +66,7 @@
         """Read the platform's list again and again, until cancelled."""
         while True:
             await self.read_list()
-            await self._clock.sleep(_LIST_EVERY_S)
+            await self._clock.sleep(_LIST_INTERVAL_S)
 
     async def read_list(self) -> None:
         """Read the platform's list once; what was known stays while it is out."""
@@ -92,10 +92,10 @@
 
     async def run_probes(self) -> None:
         """Probe the peers that are due, again and again, until cancelled."""
-        pace = ProbeRates(self._timing.heartbeat_s, self._timing.probes_per_s)
+        rates = ProbeRates(self._timing.heartbeat_s, self._timing.probes_per_s)
         while True:
             now_s = self._clock.monotonic_s()
-            peers = self._membership.due_probes(self._partners(), pace, now_s)
+            peers = self._membership.due_probes(self._partners(), rates, now_s)
             async with anyio.create_task_group() as tasks:
                 if not self._membership.peers:
                     for address in self._seeds:
@@ -103,7 +103,7 @@
                 for peer in peers:
                     tasks.start_soon(self._probe, peer)
                 tasks.start_soon(self._clock.sleep, self._timing.heartbeat_s)
-            self.probed = True
+            self.has_probed = True
 
     async def _probe_seed(self, address: str) -> None:
         try:
@@ -123,16 +123,18 @@
                 timeout_s=self._timing.suspect_after_s / 2,
             )
         except PeerError:
-            self._note_silence(peer)
+            self._note_no_response(peer)
             return
         now_s = self._clock.monotonic_s()
-        new = self._membership.note_response(result.member, leaving=result.leaving, now_s=now_s)
+        new = self._membership.note_response(
+            result.member, is_stopping=result.is_stopping, now_s=now_s
+        )
         if new:
             self._suspected.discard(peer.name)
             emit(Event.PEER_SEEN, peer=peer.name, incarnation=result.member.incarnation)
         self._on_config_offset(peer.address, result.config_offset)
 
-    def _note_silence(self, peer: PeerState) -> None:
+    def _note_no_response(self, peer: PeerState) -> None:
         if peer.member is None or peer.name in self._suspected:
             return
         if not self._membership.is_alive(peer.member, self._clock.monotonic_s()):
--- a/mothstand/entry/instance.py
+++ b/mothstand/entry/instance.py
@@ -67,9 +67,9 @@
 _ORDERS_INTERVAL_S = 1.0
 _DRAIN_CHECK_S = 0.05
 #: Time at a stop for the successors' epochs and the last appends to reach the log.
-_HAND_OVER_S = 5.0
-_RESTART_TASK_S = 0.5
-_CLOSE_S = 0.5
+_HANDOVER_S = 5.0
+_TASK_RESTART_DELAY_S = 0.5
+_CLOSE_TIMEOUT_S = 0.5
 
 
 class Instance:
@@ -85,7 +85,7 @@
         self._settings = settings
         self._clock = clock
         name = settings.instance.name
-        self.me = Member(
+        self.local_member = Member(
             name=name,
             incarnation=f"{name}:{uuid.uuid4().hex[:12]}",
             address=settings.listen.peers,
@@ -98,11 +98,13 @@
         self._peers = GrpcPeers(settings.secrets.fleet_key)
         self._upstreams = UpstreamClient(timing)
         self._router = Router(settings.data_centre)
-        self._membership = Membership(self.me, settings.data_centre, timing.suspect_after_s)
+        self._membership = Membership(
+            self.local_member, settings.data_centre, timing.suspect_after_s
+        )
         self._configuration = Configuration(self._on_config)
         self._data_centres = 1
         self._writers: list[LogWriter[Any]] = []
-        self._fetching: set[str] = set()
+        self._fetching_addresses: set[str] = set()
         self._tasks: TaskGroup | None = None
         self._ledger = LedgerService(
             settings.instance.ledger_shards,
@@ -114,7 +116,7 @@
             ),
         )
         self._claims = IntentClaims(
-            self.me, self._make_writer(INTENTS_STREAM, Pace(_INTENTS_INTERVAL_S)), clock
+            self.local_member, self._make_writer(INTENTS_STREAM, Pace(_INTENTS_INTERVAL_S)), clock
         )
         self._config_writer = self._make_writer(CONFIG_STREAM, Pace(1.0))
         self._listing = HttpInstanceList(
@@ -178,9 +180,9 @@
             tasks.start_soon(self._serve_callers, stop_serving, served)
             emit(
                 Event.INSTANCE_STARTED,
-                incarnation=self.me.incarnation,
-                callers=self.me.callers_address,
-                peers=self.me.address,
+                incarnation=self.local_member.incarnation,
+                callers=self.local_member.callers_address,
+                peers=self.local_member.address,
                 pid=os.getpid(),
             )
             await _wait_for_signal()
@@ -195,7 +197,7 @@
         await self._http_log.aclose()
         await self._listing.aclose()
         await self._engine_control.aclose()
-        emit(Event.INSTANCE_STOPPED, incarnation=self.me.incarnation)
+        emit(Event.INSTANCE_STOPPED, incarnation=self.local_member.incarnation)
 
     # -- composition --------------------------------------------------------------------------
 
@@ -206,15 +208,15 @@
             clock=self._clock,
             timing=self._settings.timing,
             config=lambda: self._configuration.state.config,
-            log_silent_s=self._log_health.failing_s,
-            data_centres=lambda: self._data_centres,
+            log_unreachable_s=self._log_health.failing_s,
+            data_centre_count=lambda: self._data_centres,
         )
 
     def _make_writer(self, stream: str, pace: Pace) -> LogWriter[Any]:
         writer: LogWriter[Any] = LogWriter(
             self._log,
             stream,
-            author=self.me.incarnation,
+            author=self.local_member.incarnation,
             clock=self._clock,
             pace=pace,
         )
@@ -273,15 +275,15 @@
     def _on_peer_config(self, address: str, offset: int) -> None:
         """Fetch a newer configuration of a peer, as after a start while the platform is out."""
         behind = offset > self._configuration.state.offset
-        if behind and self._log_health.failing_s() > 0 and address not in self._fetching:
-            self._fetching.add(address)
+        if behind and self._log_health.failing_s() > 0 and address not in self._fetching_addresses:
+            self._fetching_addresses.add(address)
             self._spawn(self._fetch_config(address))
 
     async def _fetch_config(self, address: str) -> None:
         try:
             await self._configuration.fetch(self._peers, address)
         finally:
-            self._fetching.discard(address)
+            self._fetching_addresses.discard(address)
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
         assert self._tasks is not None, "run() comes first"
@@ -307,12 +309,14 @@
 
     def _snapshot_config(self) -> None:
         now_s = self._clock.monotonic_s()
-        names = sorted([self.me.name, *self._membership.peers])
-        self._configuration.snapshot_if_due(self._config_writer, names.index(self.me.name), now_s)
+        names = sorted([self.local_member.name, *self._membership.peers])
+        self._configuration.snapshot_if_due(
+            self._config_writer, names.index(self.local_member.name), now_s
+        )
 
     def _ready_to_lead(self) -> bool:
         """Whether peers were probed and the streams read, so that epochs are not opened blindly."""
-        return self._heartbeats.probed and all(reader.is_caught_up for reader in self._readers)
+        return self._heartbeats.has_probed and all(reader.is_caught_up for reader in self._readers)
 
     async def _keep_running(self, loop: Callable[[], Awaitable[None]]) -> None:
         """Run a background loop; a fault in one must not end the instance and all its streams."""
@@ -321,7 +325,7 @@
                 await loop()
             except Exception as error:
                 emit(Event.TASK_FAILED, task=str(loop), error=repr(error))
-                await self._clock.sleep(_RESTART_TASK_S)
+                await self._clock.sleep(_TASK_RESTART_DELAY_S)
 
     async def _serve_callers(self, stop: anyio.Event, served: anyio.Event) -> None:
         config = HypercornConfig()
@@ -329,7 +333,7 @@
         config.accesslog = None
         config.errorlog = None
         # Requests were drained before `stop`: what is left are idle connections.
-        config.graceful_timeout = _CLOSE_S
+        config.graceful_timeout = _CLOSE_TIMEOUT_S
         config.keep_alive_timeout = 75.0
         app = make_app(self._context, self._claims)
         await serve(app, config, shutdown_trigger=stop.wait)  # type: ignore[arg-type]
@@ -337,23 +341,23 @@
 
     async def _drain(self) -> None:
         """Stop gracefully: no new work, running answers end, epochs and bills go to the log."""
-        self._context.activity.leaving = True
+        self._context.activity.is_stop_announced = True
         self._membership.is_stopping = True
         # The balancer sends on until it has looked at /health again: refusing at once would be
         # a refusal that a planned stop need not cost.
         await self._clock.sleep(self._settings.timing.lame_duck_s)
-        self._context.activity.stopping = True
-        emit(Event.INSTANCE_STOPPING, running=self._context.activity.running)
+        self._context.activity.is_refusing = True
+        emit(Event.INSTANCE_STOPPING, running=self._context.activity.running_requests)
         with anyio.move_on_after(self._settings.timing.drain_s):
-            while self._context.activity.running or self._ledger.unsettled:
+            while self._context.activity.running_requests or self._ledger.unsettled_count:
                 await self._clock.sleep(_DRAIN_CHECK_S)
         for writer in self._writers:
             writer.disable_linger()
-        with anyio.move_on_after(_HAND_OVER_S):
-            while self._ledger.leads_any(self._others_here()) or self._pending_appends():
+        with anyio.move_on_after(_HANDOVER_S):
+            while self._ledger.hand_over(self._has_local_peers()) or self._pending_appends():
                 await self._clock.sleep(_DRAIN_CHECK_S)
 
-    def _others_here(self) -> bool:
+    def _has_local_peers(self) -> bool:
         return bool(self._membership.local_alive(self._clock.monotonic_s()))
 
     def _pending_appends(self) -> int:
--- a/mothstand/entry/intents.py
+++ b/mothstand/entry/intents.py
@@ -28,20 +28,20 @@
         Appends to the stream.
     """
 
-    def __init__(self, me: Member, writer: LogWriter[IntentRecord], clock: Clock) -> None:
+    def __init__(self, local_member: Member, writer: LogWriter[IntentRecord], clock: Clock) -> None:
         self.fold = IntentFold()
-        self._me = me
+        self._local_member = local_member
         self._writer = writer
         self._clock = clock
-        self._claiming: set[str] = set()
-        self._given_up: set[str] = set()
+        self._claiming_keys: set[str] = set()
+        self._abandoned_keys: set[str] = set()
         self._progress = anyio.Event()
 
     def on_record(self, offset: int, record: IntentRecord) -> None:
         """Apply one record of the stream."""
         self.fold.apply(offset, record)
-        if record.request_key in self._given_up and isinstance(record, RunIntended):
-            self._given_up.discard(record.request_key)
+        if record.request_key in self._abandoned_keys and isinstance(record, RunIntended):
+            self._abandoned_keys.discard(record.request_key)
             self._release(record.request_key)
         self._progress.set()
         self._progress = anyio.Event()
@@ -60,19 +60,19 @@
         known = self.fold.find(request_key)
         if known is not None:
             return known
-        if request_key in self._claiming or request_key in self._given_up:
+        if request_key in self._claiming_keys or request_key in self._abandoned_keys:
             raise RefusedError(Refusal(ErrorKind.KEY_RUNNING, "it is being started here"))
-        self._claiming.add(request_key)
+        self._claiming_keys.add(request_key)
         try:
             return await self._claim(request_key, body_digest)
         finally:
-            self._claiming.discard(request_key)
+            self._claiming_keys.discard(request_key)
 
-    def is_mine(self, intent: Intent) -> bool:
+    def is_held_locally(self, intent: Intent) -> bool:
         """Return whether this process holds the claim."""
-        return intent.owner == self._me and intent.status is None
+        return intent.owner == self._local_member and intent.status is None
 
-    def end(self, request_key: str, status: int) -> None:
+    def record_end(self, request_key: str, status: int) -> None:
         """Say in the log how the run ended."""
         self._writer.submit(
             lambda record_id: RunEnded(record_id=record_id, request_key=request_key, status=status)
@@ -84,8 +84,8 @@
 
     def _release(self, request_key: str) -> None:
         intent = self.fold.find(request_key)
-        if intent is not None and intent.owner == self._me:
-            self.end(request_key, RELEASED)
+        if intent is not None and intent.owner == self._local_member:
+            self.record_end(request_key, RELEASED)
 
     async def _claim(self, request_key: str, body_digest: str) -> Intent:
         self._writer.submit(
@@ -93,18 +93,18 @@
                 record_id=record_id,
                 request_key=request_key,
                 body_digest=body_digest,
-                owner=self._me,
+                owner=self._local_member,
             )
         )
         deadline_s = self._clock.monotonic_s() + CLAIM_WAIT_S
-        while (left_s := deadline_s - self._clock.monotonic_s()) > 0:
+        while (remaining_s := deadline_s - self._clock.monotonic_s()) > 0:
             progress = self._progress
             intent = self.fold.find(request_key)
             if intent is not None:
                 return intent
-            with anyio.move_on_after(left_s):
+            with anyio.move_on_after(remaining_s):
                 await progress.wait()
         # The claim may still reach the log. It is released when it comes back, and until then
         # this process refuses the key, so that nobody can dispatch under it.
-        self._given_up.add(request_key)
+        self._abandoned_keys.add(request_key)
         raise RefusedError(Refusal(ErrorKind.PLATFORM_UNREACHABLE))
--- a/mothstand/entry/orders.py
+++ b/mothstand/entry/orders.py
@@ -37,7 +37,7 @@
         config: Callable[[], ConfigState],
         writer: LogWriter[EngineOrdered],
         clock: Clock,
-        look_every_s: float,
+        poll_interval_s: float,
     ) -> None:
         self._planner = planner
         self._control = control
@@ -45,16 +45,16 @@
         self._config = config
         self._writer = writer
         self._clock = clock
-        self._look_every_s = look_every_s
-        self._silent: set[str] = set()
+        self._poll_interval_s = poll_interval_s
+        self._unresponsive_engines: set[str] = set()
 
     async def run(self) -> None:
         """Look and order, again and again, until cancelled."""
         while True:
-            await self.look_at_all()
-            await self._clock.sleep(self._look_every_s)
+            await self.poll_all()
+            await self._clock.sleep(self._poll_interval_s)
 
-    async def look_at_all(self) -> None:
+    async def poll_all(self) -> None:
         """Look once at each engine that this instance orders."""
         state = self._config()
         now_s = self._clock.monotonic_s()
@@ -63,17 +63,17 @@
             state.config, alive, state.config.weight_loads, now_s
         )
         for engine in engines:
-            await self._look_at(engine)
+            await self._poll(engine)
 
-    async def _look_at(self, engine: Upstream) -> None:
+    async def _poll(self, engine: Upstream) -> None:
         try:
-            report = await self._control.look(engine)
+            report = await self._control.poll(engine)
         except EngineError as error:
-            if engine.name not in self._silent:
-                self._silent.add(engine.name)
+            if engine.name not in self._unresponsive_engines:
+                self._unresponsive_engines.add(engine.name)
                 emit(Event.ENGINE_SILENT, upstream=engine.name, error=str(error))
             return
-        self._silent.discard(engine.name)
+        self._unresponsive_engines.discard(engine.name)
         # Read again: both may have changed while the engine was looked at.
         state, now_s = self._config(), self._clock.monotonic_s()
         known = state.config.upstreams.get(engine.name)
--- a/mothstand/entry/services.py
+++ b/mothstand/entry/services.py
@@ -59,7 +59,7 @@
         self._service: Service = service
 
     @property
-    def _once(self) -> bool:
+    def _is_at_most_once(self) -> bool:
         return not self._service.idempotent
 
     async def run(self, sink: AnswerSink) -> None:
@@ -71,11 +71,11 @@
             Only while nothing of an answer has been sent.
         """
         choose_upstream(self._context, self._request, self._route(frozenset()))
-        if self._once and self._request.keyed:
+        if self._is_at_most_once and self._request.is_keyed:
             self._check_claimed()
         price = self._service.tokens_per_call
         async with Budgeted(self._context, self._request, price) as charge:
-            if not (self._once and self._request.keyed):
+            if not (self._is_at_most_once and self._request.is_keyed):
                 await self._dispatch(charge, sink)
                 return
             await self._dispatch_claimed(charge, sink)
@@ -87,9 +87,9 @@
             return
         if intent.body_digest != self._request.body_digest:
             raise RefusedError(Refusal(ErrorKind.KEY_REUSED))
-        self._raise_known(intent)
+        self._refuse_known_key(intent)
 
-    def _raise_known(self, intent: Intent) -> NoReturn:
+    def _refuse_known_key(self, intent: Intent) -> NoReturn:
         """Refuse, or send to its owner, a key that was claimed before."""
         if intent.status == OUTCOME_UNKNOWN:
             raise RefusedError(Refusal(ErrorKind.OUTCOME_UNKNOWN, "under this key, before"))
@@ -98,17 +98,17 @@
     async def _dispatch_claimed(self, charge: Charge, sink: AnswerSink) -> None:
         key = self._request.request_id
         intent = await self._claims.claim(key, self._request.body_digest)
-        if not self._claims.is_mine(intent):
-            self._raise_known(intent)
+        if not self._claims.is_held_locally(intent):
+            self._refuse_known_key(intent)
         try:
             status = await self._dispatch(charge, sink)
         except RefusedError as refused:
             if refused.refusal.kind is ErrorKind.OUTCOME_UNKNOWN:
-                self._claims.end(key, OUTCOME_UNKNOWN)
+                self._claims.record_end(key, OUTCOME_UNKNOWN)
             else:
                 self._claims.release(key)
             raise
-        self._claims.end(key, status)
+        self._claims.record_end(key, status)
 
     def _route(self, tried: frozenset[str]) -> RouteCall:
         return RouteCall(
@@ -123,7 +123,7 @@
             try:
                 return await self._attempt(upstream, charge, sink)
             except MayHaveRunError as error:
-                if not self._once:
+                if not self._is_at_most_once:
                     raise
                 # The call may have had its effect, so it is billed and not tried again.
                 charge.used_tokens = charge.bound_tokens
@@ -133,24 +133,28 @@
 
     async def _attempt(self, upstream: Upstream, charge: Charge, sink: AnswerSink) -> int:
         headers = {REQUEST_ID_HEADER: self._request.request_id}
-        if self._request.keyed:
+        if self._request.is_keyed:
             headers["idempotency-key"] = self._request.request_id
         with Attempt(self._context, upstream) as attempt:
             try:
                 sending = self._context.upstreams.send(
-                    upstream, self._path, self._request.body, headers=headers, once=self._once
+                    upstream,
+                    self._path,
+                    self._request.body,
+                    headers=headers,
+                    at_most_once=self._is_at_most_once,
                 )
                 async with sending as response:
-                    attempt.heard(response)
+                    attempt.apply_load_report(response)
                     if response.status_code in NOT_RUN_STATUSES:
                         raise NotRunError("the service says that it did not run the call")
                     body = await response.aread()
                     kind = response.headers.get("content-type", "application/octet-stream")
                     status = response.status_code
             except (NotRunError, MayHaveRunError) as error:
-                attempt.fail(error)
+                attempt.note_failure(error)
                 raise
         charge.used_tokens = charge.bound_tokens
         answer_headers = {"content-type": kind, REQUEST_ID_HEADER: self._request.request_id}
-        await sink.send_whole(status, answer_headers, body)
+        await sink.send_complete(status, answer_headers, body)
         return status
--- a/mothstand/entry/sinks.py
+++ b/mothstand/entry/sinks.py
@@ -15,7 +15,7 @@
 class AnswerSink(ABC):
     """Takes one answer: a start, then its body in pieces, then the end."""
 
-    started = False
+    has_started = False
 
     @abstractmethod
     async def start(self, status: int, headers: dict[str, str]) -> None:
@@ -29,7 +29,7 @@
     async def end(self) -> None:
         """Take the end."""
 
-    async def send_whole(self, status: int, headers: dict[str, str], body: bytes) -> None:
+    async def send_complete(self, status: int, headers: dict[str, str], body: bytes) -> None:
         """Take an answer in one piece."""
         await self.start(status, {**headers, "content-length": str(len(body))})
         await self.send(body)
@@ -44,7 +44,7 @@
 
     async def start(self, status: int, headers: dict[str, str]) -> None:
         """Send status and headers."""
-        self.started = True
+        self.has_started = True
         pairs = [(k.encode("latin-1"), v.encode("latin-1")) for k, v in headers.items()]
         await self._send({"type": "http.response.start", "status": status, "headers": pairs})
 
@@ -58,7 +58,7 @@
 
 
 @dataclass(slots=True)
-class KeptAnswer:
+class RetainedAnswer:
     """An answer under an idempotency key, running or finished."""
 
     body_digest: str
@@ -66,18 +66,18 @@
     headers: dict[str, str] = field(default_factory=dict)
     pieces: list[bytes] = field(default_factory=list)
     size_bytes: int = 0
-    finished: bool = False
+    is_finished: bool = False
     finished_at_s: float = 0.0
-    _more: anyio.Event = field(default_factory=anyio.Event)
+    _change_event: anyio.Event = field(default_factory=anyio.Event)
 
-    def announce(self) -> None:
+    def notify_followers(self) -> None:
         """Wake the followers."""
-        self._more.set()
-        self._more = anyio.Event()
+        self._change_event.set()
+        self._change_event = anyio.Event()
 
     async def wait(self) -> None:
         """Wait for more of the answer."""
-        await self._more.wait()
+        await self._change_event.wait()
 
     async def follow(self, send: Send) -> None:
         """Send the whole answer to a caller, from its start, waiting for what is to come."""
@@ -90,35 +90,35 @@
             while position < len(self.pieces):
                 await sink.send(self.pieces[position])
                 position += 1
-            if self.finished:
+            if self.is_finished:
                 break
             await self.wait()
         await sink.end()
 
 
-class KeepingSink(AnswerSink):
+class RetainingSink(AnswerSink):
     """Keeps the answer for its followers."""
 
-    def __init__(self, kept: KeptAnswer) -> None:
-        self._kept = kept
+    def __init__(self, answer: RetainedAnswer) -> None:
+        self._answer = answer
 
     async def start(self, status: int, headers: dict[str, str]) -> None:
         """Keep status and headers."""
-        self.started = True
-        self._kept.status = status
-        self._kept.headers = headers
-        self._kept.announce()
+        self.has_started = True
+        self._answer.status = status
+        self._answer.headers = headers
+        self._answer.notify_followers()
 
     async def send(self, body: bytes) -> None:
         """Keep a piece of the body."""
-        self._kept.pieces.append(body)
-        self._kept.size_bytes += len(body)
-        self._kept.announce()
+        self._answer.pieces.append(body)
+        self._answer.size_bytes += len(body)
+        self._answer.notify_followers()
 
     async def end(self) -> None:
         """Keep the end."""
-        self._kept.finished = True
-        self._kept.announce()
+        self._answer.is_finished = True
+        self._answer.notify_followers()
 
 
 class AnswerStore:
@@ -132,22 +132,22 @@
         Finished answers are dropped after this.
     """
 
-    def __init__(self, *, most_bytes: int = 8_000_000, kept_s: float = 600.0) -> None:
-        self._most_bytes = most_bytes
-        self._kept_s = kept_s
-        self._answers: dict[str, KeptAnswer] = {}
+    def __init__(self, *, max_bytes: int = 8_000_000, retention_s: float = 600.0) -> None:
+        self._max_bytes = max_bytes
+        self._retention_s = retention_s
+        self._answers: dict[str, RetainedAnswer] = {}
 
     def __len__(self) -> int:
         return len(self._answers)
 
-    def find(self, request_id: str) -> KeptAnswer | None:
+    def find(self, request_id: str) -> RetainedAnswer | None:
         """Return the answer of a request, or None."""
         return self._answers.get(request_id)
 
-    def open(self, request_id: str, body_digest: str) -> KeptAnswer:
+    def add(self, request_id: str, body_digest: str) -> RetainedAnswer:
         """Return a new, empty answer for a request."""
-        kept = self._answers[request_id] = KeptAnswer(body_digest)
-        return kept
+        answer = self._answers[request_id] = RetainedAnswer(body_digest)
+        return answer
 
     def drop(self, request_id: str) -> None:
         """Forget an answer, so that a retry is a new request."""
@@ -155,12 +155,12 @@
 
     def expire(self, now_s: float) -> None:
         """Drop finished answers that are too old or too many."""
-        size_bytes = sum(kept.size_bytes for kept in self._answers.values())
-        for request_id, kept in list(self._answers.items()):
-            if not kept.finished:
+        size_bytes = sum(answer.size_bytes for answer in self._answers.values())
+        for request_id, answer in list(self._answers.items()):
+            if not answer.is_finished:
                 continue
-            if not kept.finished_at_s:
-                kept.finished_at_s = now_s
-            if size_bytes > self._most_bytes or now_s - kept.finished_at_s > self._kept_s:
-                size_bytes -= kept.size_bytes
+            if not answer.finished_at_s:
+                answer.finished_at_s = now_s
+            if size_bytes > self._max_bytes or now_s - answer.finished_at_s > self._retention_s:
+                size_bytes -= answer.size_bytes
                 del self._answers[request_id]
--- a/mothstand/gateway/bootstrap.py
+++ b/mothstand/gateway/bootstrap.py
@@ -78,4 +78,4 @@
         self._members.apply_second_hand(state.members)
         self._upstreams.apply_second_hand(state.upstreams)
         self._quarantine.apply_second_hand(state.quarantine_records)
-        self._config.apply_second_hand(KeyedRecord("", state.config))
+        self._config.apply_record(KeyedRecord("", state.config))
--- a/mothstand/gateway/call.py
+++ b/mothstand/gateway/call.py
@@ -119,7 +119,7 @@
         return self._digest
 
     @property
-    def reported_attempts(self) -> str:
+    def attempts_summary(self) -> str:
         """What became of its attempts, for its refusal's log line."""
         tried = (
             f"{len(self.tried_upstreams)} tried, {self.sent_attempts} sent, {self.refusals} refused"
--- a/mothstand/gateway/feeds.py
+++ b/mothstand/gateway/feeds.py
@@ -182,9 +182,9 @@
         """Take later records, in order."""
         for record in records:
             if record.key == self._key and record.value is not None:
-                self.apply_second_hand(record)
+                self.apply_record(record)
 
-    def apply_second_hand(self, record: KeyedRecord) -> None:
+    def apply_record(self, record: KeyedRecord) -> None:
         """Put a configuration in force if it is valid and later than the one that is."""
         raw = record.value or b""
         try:
--- a/mothstand/gateway/forward.py
+++ b/mothstand/gateway/forward.py
@@ -136,7 +136,7 @@
                 self._break_off(call, caller, "timeout")
                 return
             kind = ErrorKind.TIMED_OUT if call.sent_attempts else ErrorKind.OVERLOADED
-            raise RefusedError(Refusal(kind, call.reported_attempts)) from None
+            raise RefusedError(Refusal(kind, call.attempts_summary)) from None
 
     async def _try_upstreams(self, call: Call, caller: CallerConnection) -> None:
         while True:
@@ -198,11 +198,11 @@
             answer = call.failed_answer
             await caller.send_complete(answer.status, answer.reason, answer.headers, answer.body)
         elif call.sent_attempts:
-            raise RefusedError(Refusal(ErrorKind.OUTCOME_UNKNOWN, call.reported_attempts))
+            raise RefusedError(Refusal(ErrorKind.OUTCOME_UNKNOWN, call.attempts_summary))
         elif self._guard.is_quarantined(call):
             raise RefusedError(self._guard.refusal(call))
         elif call.refusals:
-            attempts = call.reported_attempts
+            attempts = call.attempts_summary
             raise RefusedError(
                 Refusal(ErrorKind.OVERLOADED, attempts, retry_after_s=_FULL_RETRY_AFTER_S)
             )
--- a/mothstand/gateway/metrics.py
+++ b/mothstand/gateway/metrics.py
@@ -29,7 +29,7 @@
         """Record how long a reservation took."""
         record_s(self.reserve_us, elapsed_s)
 
-    def record_complete(self, elapsed_s: float) -> None:
+    def record_total(self, elapsed_s: float) -> None:
         """Record the time from a request's arrival to its end."""
         record_s(self.whole_us, elapsed_s)
 
--- a/mothstand/gateway/server.py
+++ b/mothstand/gateway/server.py
@@ -176,7 +176,7 @@
             await self._answer_internal_error(caller, request_id, error, arrived_s)
         finally:
             self.running_requests -= 1
-            self._metrics.record_complete(self._clock.monotonic_s() - arrived_s)
+            self._metrics.record_total(self._clock.monotonic_s() - arrived_s)
         assert caller.response is not None
         return caller.response
 
--- a/mothstand/gateway/store_witness.py
+++ b/mothstand/gateway/store_witness.py
@@ -26,7 +26,7 @@
     """Knows whether the store was up while it did not answer here."""
 
     @abstractmethod
-    async def read_without_gap(self, gap_s: float) -> bool:
+    async def has_read_without_gap(self, gap_s: float) -> bool:
         """Return whether the registrations could be read elsewhere all through the last seconds.
 
         False also where nobody can tell.
@@ -40,7 +40,7 @@
         self._link = link
         self._members = members
 
-    async def read_without_gap(self, gap_s: float) -> bool:
+    async def has_read_without_gap(self, gap_s: float) -> bool:
         """Return whether a peer followed the registrations all through the last seconds."""
         peers = [member.peer for member in self._members.fleet.other_members()]
         found = False
--- a/mothstand/gateway/upstream_feed.py
+++ b/mothstand/gateway/upstream_feed.py
@@ -80,7 +80,7 @@
         """Note that the store answered; after a gap, find out whether it was up meanwhile."""
         now_s = self._clock.monotonic_s()
         gap_s = self.directory.gap_s(now_s)
-        store_was_up = gap_s > 0 and await self._witness.read_without_gap(gap_s)
+        store_was_up = gap_s > 0 and await self._witness.has_read_without_gap(gap_s)
         self.directory.note_store_read(now_s, store_was_up=store_was_up)
         if gap_s:
             emit(
--- a/mothstand/ledger/calls.py
+++ b/mothstand/ledger/calls.py
@@ -32,8 +32,8 @@
     budget: BudgetName
     bound_tokens: int
     owner: str
-    keyed: bool
-    away: bool = False
+    is_keyed: bool
+    is_from_remote: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,7 +52,7 @@
     number: int
     holder: str
     witness: str
-    home: str = ""
+    key_holder: str = ""
 
 
 @dataclass(frozen=True, slots=True)
@@ -67,7 +67,7 @@
     """The request's key has come before; `owner` is the incarnation that runs or ran it."""
 
     owner: str
-    finished: bool
+    is_finished: bool
 
 
 ReserveReply = Ticket | Refusal | NotHolder | KnownKey
@@ -93,5 +93,7 @@
         """Hand over a usage; return whether the instance took it."""
 
     @abstractmethod
-    async def posted(self, address: str, tickets: tuple[Ticket, ...], *, timeout_s: float) -> None:
+    async def report_posted(
+        self, address: str, tickets: tuple[Ticket, ...], *, timeout_s: float
+    ) -> None:
         """Say that the bills of these reservations are in the log."""
--- a/mothstand/ledger/escrow_agent.py
+++ b/mothstand/ledger/escrow_agent.py
@@ -36,27 +36,29 @@
 
 
 #: Seconds after an ask that got less than it wanted, before the next; doubles up to the most.
-_UNMET_FIRST_S = 1.0
-_UNMET_MOST_S = 32.0
+_UNFULFILLED_RETRY_S = 1.0
+_UNFULFILLED_MAX_RETRY_S = 32.0
 
 
 #: Budgets looked at when another asks; at 14 us each, a few milliseconds.
-_MOST_ALONG = 256
+_MAX_EXTRA_BUDGETS = 256
 
 
 @dataclass(slots=True)
-class _UnmetAsks:
+class _UnfulfilledAsks:
     """Asks in a row that got less than they wanted.
 
     At a budget's end they would go on for each request, two appends a time, in every data centre.
     """
 
-    backoff: Backoff = field(default_factory=lambda: Backoff(_UNMET_FIRST_S, _UNMET_MOST_S))
-    again_at_s: float = 0.0
+    backoff: Backoff = field(
+        default_factory=lambda: Backoff(_UNFULFILLED_RETRY_S, _UNFULFILLED_MAX_RETRY_S)
+    )
+    retry_at_s: float = 0.0
 
     def add(self, now_s: float) -> None:
         """Count one more, and wait longer before the next."""
-        self.again_at_s = now_s + self.backoff.next_s()
+        self.retry_at_s = now_s + self.backoff.next_s()
 
 
 class EscrowAgent:
@@ -72,55 +74,57 @@
         self,
         state: ShardState,
         writer: LogWriter[LedgerRecord | LedgerSnapshot],
-        want_mirror: Callable[[], None],
+        request_mirror: Callable[[], None],
     ) -> None:
         self._state = state
         self._writer = writer
-        self._want_mirror = want_mirror
-        self._demands: dict[BudgetName, SpendEstimator] = {}
-        self._asked: dict[BudgetName, RecordId] = {}
-        self._unmet: dict[BudgetName, _UnmetAsks] = {}
-        self._along_start = 0
-        self._paid_submitted: dict[BudgetName, int] = {}
-        self._returning: dict[tuple[Epoch, int], tuple[BudgetName, int]] = {}
+        self._request_mirror = request_mirror
+        self._estimators: dict[BudgetName, SpendEstimator] = {}
+        self._pending_asks: dict[BudgetName, RecordId] = {}
+        self._unfulfilled_asks: dict[BudgetName, _UnfulfilledAsks] = {}
+        self._extra_start = 0
+        self._submitted_paid_tokens: dict[BudgetName, int] = {}
+        self._pending_returns: dict[tuple[Epoch, int], tuple[BudgetName, int]] = {}
 
     def note_bound(self, budget: BudgetName, bound_tokens: int) -> None:
         """Note a request's upper bound."""
-        self._demand(budget).note_bound(bound_tokens)
+        self._estimator(budget).note_bound(bound_tokens)
 
     def add_demand(self, budget: BudgetName, used_tokens: int) -> None:
         """Count a request's usage towards the budget's demand."""
-        self._demand(budget).add_usage(used_tokens, self._state.context.clock.monotonic_s())
+        self._estimator(budget).add_usage(used_tokens, self._state.context.clock.monotonic_s())
 
-    def on_epoch(self) -> None:
+    def on_epoch_opened(self) -> None:
         """Forget what was asked for, and on its way back, in an earlier epoch."""
-        self._asked.clear()
-        self._returning.clear()
+        self._pending_asks.clear()
+        self._pending_returns.clear()
 
-    def on_grant(self, record: GrantAsked) -> None:
+    def on_grant_decided(self, record: GrantAsked) -> None:
         """Note that an ask was decided, whatever the decision."""
-        here = self._state.context.membership.data_centre
+        local_data_centre = self._state.context.membership.data_centre
         now_s = self._state.context.clock.monotonic_s()
-        for budget, asked in self._asked.items():
-            if asked != record.record_id:
+        for budget, ask_id in self._pending_asks.items():
+            if ask_id != record.record_id:
                 continue
-            if here in self._state.fold.unfulfilled_tokens.get(budget, {}):
-                self._unmet.setdefault(budget, _UnmetAsks()).add(now_s)
+            if local_data_centre in self._state.fold.unfulfilled_tokens.get(budget, {}):
+                self._unfulfilled_asks.setdefault(budget, _UnfulfilledAsks()).add(now_s)
                 emit(Event.GRANT_UNMET, shard=self._state.shard, budget=budget)
             else:
-                self._unmet.pop(budget, None)
-        self._asked = {b: asked for b, asked in self._asked.items() if asked != record.record_id}
+                self._unfulfilled_asks.pop(budget, None)
+        self._pending_asks = {
+            b: ask_id for b, ask_id in self._pending_asks.items() if ask_id != record.record_id
+        }
 
-    def pay(self, budgets: dict[BudgetName, int]) -> None:
+    def submit_paid_tokens(self, budgets: dict[BudgetName, int]) -> None:
         """Bring the configuration's paid totals into the shard's stream.
 
         Any instance may, at any time: the totals are cumulative, so a second one changes nothing.
         """
         for name, paid in budgets.items():
             fold_paid = self._state.fold.paid_tokens.get(name, 0)
-            if paid <= max(fold_paid, self._paid_submitted.get(name, 0)):
+            if paid <= max(fold_paid, self._submitted_paid_tokens.get(name, 0)):
                 continue
-            self._paid_submitted[name] = paid
+            self._submitted_paid_tokens[name] = paid
             self._writer.submit(_paid_record(name, paid))
 
     def ask_for_waiting(self) -> None:
@@ -139,64 +143,71 @@
         if leading is None:
             return
         epoch = leading[0].epoch
-        first = self._ask_one(leading, budget, along=False)
+        first = self._make_ask(leading, budget, shares_append=False)
         if first is None:
             return
-        others = (self._ask_one(leading, other, along=True) for other in self._next_along(budget))
-        asks = [first, *(ask for ask in others if ask is not None)]
+        extra_asks = (
+            self._make_ask(leading, other, shares_append=True)
+            for other in self._next_extra_budgets(budget)
+        )
+        asks = [first, *(ask for ask in extra_asks if ask is not None)]
         record = self._writer.submit(
             lambda record_id: GrantAsked(record_id=record_id, epoch=epoch, asks=tuple(asks))
         )
-        self._asked.update({ask.budget: record.record_id for ask in asks})
+        self._pending_asks.update({ask.budget: record.record_id for ask in asks})
 
-    def _next_along(self, budget: BudgetName) -> list[BudgetName]:
+    def _next_extra_budgets(self, budget: BudgetName) -> list[BudgetName]:
         """Return the next few other budgets, in turn: to look at all would hold up streams."""
-        names = list(self._demands)
-        start = self._along_start % len(names)
-        self._along_start = start + _MOST_ALONG
+        names = list(self._estimators)
+        start = self._extra_start % len(names)
+        self._extra_start = start + _MAX_EXTRA_BUDGETS
         in_turn = names[start:] + names[:start]
-        return [name for name in in_turn[:_MOST_ALONG] if name != budget]
+        return [name for name in in_turn[:_MAX_EXTRA_BUDGETS] if name != budget]
 
-    def give_back(self) -> None:
+    def return_surplus(self) -> None:
         """Return what another data centre asked for in vain and this one can spare."""
         leading = self._state.leading()
         if leading is None:
             return
-        here = self._state.context.membership.data_centre
+        local_data_centre = self._state.context.membership.data_centre
         for budget, waiting in list(self._state.fold.unfulfilled_tokens.items()):
-            unmet = sum(tokens for dc, tokens in waiting.items() if dc != here)
-            if unmet <= 0 or budget not in leading[0].grants:
+            unfulfilled_tokens = sum(
+                tokens for dc, tokens in waiting.items() if dc != local_data_centre
+            )
+            if unfulfilled_tokens <= 0 or budget not in leading[0].grants:
                 continue
-            if here not in waiting:
-                self._give_back_one(leading, budget, unmet)
-            elif should_give_all(budget, here, waiting):
-                self._give_way(leading, budget)
+            if local_data_centre not in waiting:
+                self._return_budget_surplus(leading, budget, unfulfilled_tokens)
+            elif should_give_all(budget, local_data_centre, waiting):
+                self._return_all_free(leading, budget)
 
-    def on_decided(self, epoch: Epoch, number: int, acknowledged: bool) -> None:
+    def on_reservation_decided(self, epoch: Epoch, number: int, is_acknowledged: bool) -> None:
         """Take the witness's word on a reservation; if it was for a return, return it or not.
 
         A rejected return must be forgotten too: as long as it counts as on its way, nothing more
         of the budget is given back, and other data centres go on waiting.
         """
-        returning = self._returning.pop((epoch, number), None)
-        if returning is not None and acknowledged:
-            self._submit_return(epoch, *returning)
+        pending_return = self._pending_returns.pop((epoch, number), None)
+        if pending_return is not None and is_acknowledged:
+            self._submit_return(epoch, *pending_return)
 
-    def returning_tokens(self, budget: BudgetName) -> int:
+    def pending_return_tokens(self, budget: BudgetName) -> int:
         """Return what is on its way back, waiting for the witness's word."""
-        return sum(tokens for name, tokens in self._returning.values() if name == budget)
+        return sum(tokens for name, tokens in self._pending_returns.values() if name == budget)
 
-    def _ask_one(
-        self, leading: tuple[EpochState, HolderAccount], budget: BudgetName, *, along: bool
+    def _make_ask(
+        self, leading: tuple[EpochState, HolderAccount], budget: BudgetName, *, shares_append: bool
     ) -> GrantAsk | None:
-        if budget in self._asked:
+        if budget in self._pending_asks:
             return None
         view = self._view(leading, budget)
         short_tokens = view.needed_tokens - view.free_tokens
-        if view.ungranted_tokens < max(1, short_tokens) and not self._may_move_others(budget, view):
+        if view.ungranted_tokens < max(1, short_tokens) and not self._can_prompt_returns(
+            budget, view
+        ):
             return None
         policy = self._state.context.config().escrow
-        tokens = ask_tokens(policy, view, shares_append=along)
+        tokens = ask_tokens(policy, view, shares_append=shares_append)
         if tokens <= 0:
             return None
         account = leading[1]
@@ -214,47 +225,51 @@
             promotion_tokens=promotion - grant.promotion_tokens if view.has_witness else 0,
         )
 
-    def _may_move_others(self, budget: BudgetName, view: EscrowView) -> bool:
+    def _can_prompt_returns(self, budget: BudgetName, view: EscrowView) -> bool:
         """Return whether an ask that gets nothing is worth its append: others may give back."""
-        if view.needed_tokens <= view.free_tokens or not self._state.elsewhere(budget):
+        if view.needed_tokens <= view.free_tokens or not self._state.remote_epochs(budget):
             return False
         now_s = self._state.context.clock.monotonic_s()
-        unmet = self._unmet.get(budget)
-        return unmet is None or now_s >= unmet.again_at_s
+        unfulfilled = self._unfulfilled_asks.get(budget)
+        return unfulfilled is None or now_s >= unfulfilled.retry_at_s
 
     def _view(self, leading: tuple[EpochState, HolderAccount], budget: BudgetName) -> EscrowView:
         epoch_state, account = leading
         context = self._state.context
-        demand = self._demand(budget)
+        estimator = self._estimator(budget)
         return EscrowView(
             free_tokens=account.free_tokens(
                 budget, epoch_state.grants.get(budget, Grant()), account.main_lane
             ),
             ungranted_tokens=self._state.fold.ungranted_tokens(budget),
             needed_tokens=self._state.needed_tokens.get(budget, 0),
-            rate_tokens_per_s=demand.rate_tokens_per_s(context.clock.monotonic_s()),
-            largest_tokens=demand.largest_tokens,
-            data_centres=context.data_centres(),
+            rate_tokens_per_s=estimator.rate_tokens_per_s(context.clock.monotonic_s()),
+            largest_tokens=estimator.largest_tokens,
+            data_centres=context.data_centre_count(),
             has_witness=account.has_witness,
         )
 
-    def _demand(self, budget: BudgetName) -> SpendEstimator:
-        demand = self._demands.get(budget)
-        if demand is None:
-            demand = SpendEstimator(self._state.context.config().escrow.demand_window_s)
-            self._demands[budget] = demand
-        return demand
+    def _estimator(self, budget: BudgetName) -> SpendEstimator:
+        estimator = self._estimators.get(budget)
+        if estimator is None:
+            estimator = SpendEstimator(self._state.context.config().escrow.demand_window_s)
+            self._estimators[budget] = estimator
+        return estimator
 
-    def _give_back_one(
-        self, leading: tuple[EpochState, HolderAccount], budget: BudgetName, unmet_tokens: int
+    def _return_budget_surplus(
+        self, leading: tuple[EpochState, HolderAccount], budget: BudgetName, unfulfilled_tokens: int
     ) -> None:
         view = self._view(leading, budget)
         policy = self._state.context.config().escrow
-        pending = self.returning_tokens(budget)
-        tokens = surplus_tokens(policy, view, unmet_tokens - view.ungranted_tokens - pending)
+        pending_tokens = self.pending_return_tokens(budget)
+        tokens = surplus_tokens(
+            policy, view, unfulfilled_tokens - view.ungranted_tokens - pending_tokens
+        )
         self.return_tokens(budget, tokens, leading[1].main_lane)
 
-    def _give_way(self, leading: tuple[EpochState, HolderAccount], budget: BudgetName) -> None:
+    def _return_all_free(
+        self, leading: tuple[EpochState, HolderAccount], budget: BudgetName
+    ) -> None:
         """Give back all that is free, the allowance too: nothing but rests is left."""
         epoch_state, account = leading
         grant = epoch_state.grants[budget]
@@ -271,18 +286,18 @@
         if tokens <= 0 or leading is None or budget not in leading[0].grants:
             return
         epoch_state, account = leading
-        taken = account.reserve(
+        reservation = account.reserve(
             f"return/{budget}",
             budget,
             tokens,
             grant=epoch_state.grants[budget],
             lane=lane,
         )
-        if taken is None:
+        if reservation is None:
             return
         if lane is Lane.WITNESSED:
-            self._returning[epoch_state.epoch, taken.number] = (budget, tokens)
-            self._want_mirror()
+            self._pending_returns[epoch_state.epoch, reservation.number] = (budget, tokens)
+            self._request_mirror()
         else:
             self._submit_return(epoch_state.epoch, budget, tokens)
 
--- a/mothstand/ledger/remote_reserve.py
+++ b/mothstand/ledger/remote_reserve.py
@@ -22,10 +22,10 @@
 
 
 #: Data centres that are asked for one request, the most promising first.
-_MOST_ASKED = 2
+_MAX_DATA_CENTRES_ASKED = 2
 
 
-async def reserve_elsewhere(state: ShardState, call: ReserveCall) -> Ticket | None:
+async def reserve_remote(state: ShardState, call: ReserveCall) -> Ticket | None:
     """Return a reservation in another data centre's epoch, or None if none has room.
 
     Notes
@@ -35,22 +35,22 @@
     reservation whose answer is lost holds its tokens until its epoch ends.
     """
     timing = state.context.timing
-    away = replace(call, keyed=False, away=True)
-    timeout_s = 2 * timing.mirror_timeout_s + away_wait_s(timing)
-    for epoch in epochs_with_room(state, call.budget, call.bound_tokens):
+    remote_call = replace(call, is_keyed=False, is_from_remote=True)
+    timeout_s = 2 * timing.mirror_timeout_s + remote_call_wait_s(timing)
+    for epoch in remote_epochs_with_tokens(state, call.budget, call.bound_tokens):
         try:
             reply = await state.context.calls.reserve(
-                epoch.holder.address, away, timeout_s=timeout_s
+                epoch.holder.address, remote_call, timeout_s=timeout_s
             )
         except PeerError:
             continue
         if isinstance(reply, Ticket):
-            home = state.context.membership.local_member.address if call.keyed else ""
-            return replace(reply, home=home)
+            key_holder = state.context.membership.local_member.address if call.is_keyed else ""
+            return replace(reply, key_holder=key_holder)
     return None
 
 
-def away_wait_s(timing: TimingSection) -> float:
+def remote_call_wait_s(timing: TimingSection) -> float:
     """Return how long a leaseholder waits for the log on behalf of another data centre.
 
     Two of them are asked one after the other, and the request has no longer than here.
@@ -58,22 +58,24 @@
     return timing.grant_wait_s / 2
 
 
-def epochs_with_room(state: ShardState, budget: BudgetName, bound_tokens: int) -> list[EpochState]:
+def remote_epochs_with_tokens(
+    state: ShardState, budget: BudgetName, bound_tokens: int
+) -> list[EpochState]:
     """Return other data centres' open epochs that may have the tokens, the most first.
 
     They may have less: their spend is known from their last asks only. While this data centre
     cannot reach the log, others may get from it what they do not have yet.
     """
     now_s = state.context.clock.monotonic_s()
-    found: list[tuple[int, EpochState]] = []
-    for epoch in state.elsewhere(budget):
+    candidates: list[tuple[int, EpochState]] = []
+    for epoch in state.remote_epochs(budget):
         if epoch.is_closed:
             continue
         grant = epoch.grants[budget]
         free_tokens = grant.granted_tokens - grant.returned_tokens - grant.reported_tokens
-        if free_tokens < bound_tokens and not state.context.log_is_out:
+        if free_tokens < bound_tokens and not state.context.is_log_unreachable:
             continue
         if state.context.membership.find(epoch.holder.incarnation, now_s) is not None:
-            found.append((free_tokens, epoch))
-    found.sort(key=lambda pair: -pair[0])
-    return [epoch for _, epoch in found[:_MOST_ASKED]]
+            candidates.append((free_tokens, epoch))
+    candidates.sort(key=lambda pair: -pair[0])
+    return [epoch for _, epoch in candidates[:_MAX_DATA_CENTRES_ASKED]]
--- a/mothstand/ledger/reserver.py
+++ b/mothstand/ledger/reserver.py
@@ -13,7 +13,7 @@
 from ..events import Event, emit
 from ..peers.failures import PeerError
 from .calls import KnownKey, NotHolder, ReserveCall, ReserveReply, Ticket
-from .remote_reserve import away_wait_s, reserve_elsewhere
+from .remote_reserve import remote_call_wait_s, reserve_remote
 
 if TYPE_CHECKING:
     from ..core.accounts import WitnessAccount
@@ -25,11 +25,11 @@
 
 
 @dataclass(slots=True)
-class _Waiting:
+class _PendingAcknowledgement:
     """A witnessed reservation that waits for its acknowledgement."""
 
     done: anyio.Event = field(default_factory=anyio.Event)
-    acknowledged: bool = False
+    is_acknowledged: bool = False
 
 
 class Reserver:
@@ -44,9 +44,9 @@
     def __init__(self, state: ShardState) -> None:
         self._state = state
         self._agent: EscrowAgent | None = None
-        self._waiting: dict[tuple[Epoch, int], _Waiting] = {}
-        self._mirror_wanted = anyio.Event()
-        self.witness_reachable = True
+        self._pending_acknowledgements: dict[tuple[Epoch, int], _PendingAcknowledgement] = {}
+        self._mirror_requested = anyio.Event()
+        self.is_witness_reachable = True
 
     def attach(self, agent: EscrowAgent) -> None:
         """Take the agent that asks for escrow; the two need each other."""
@@ -58,37 +58,37 @@
         assert self._agent is not None, "attach() comes first"
         return self._agent
 
-    def want_mirror(self) -> None:
+    def request_mirror(self) -> None:
         """Wake the mirror loop."""
-        self._mirror_wanted.set()
+        self._mirror_requested.set()
 
     async def reserve(self, call: ReserveCall) -> ReserveReply:
         """Reserve the request's upper bound, or say why not."""
         state = self._state
-        if call.keyed:
+        if call.is_keyed:
             known = self._find_key(call)
             if known is not None:
                 return known
         leads = state.leading() is not None
         promoted = None if leads else state.promoted()
         if not leads and promoted is None:
-            return NotHolder(self._hint())
-        if call.keyed:
+            return NotHolder(self._holder_hint())
+        if call.is_keyed:
             # Before the first await, so that a second request of the same key finds it.
             state.requests.start(call.request_id, call.owner)
         if promoted is None:
-            reply = await self._reserve_leading(call)
+            reply = await self._reserve_as_holder(call)
         else:
-            reply = await self._reserve_promoted(promoted, call)
-        if call.keyed and not isinstance(reply, Ticket):
+            reply = await self._reserve_as_witness(promoted, call)
+        if call.is_keyed and not isinstance(reply, Ticket):
             state.requests.forget(call.request_id)
         return reply
 
     def settle(self, ticket: Ticket, used_tokens: int, request_id: str) -> bool:
         """Settle a reservation; return False if this instance cannot, now or ever."""
         state = self._state
-        if ticket.home == state.context.membership.local_member.address:
-            self._end_key(request_id, used_tokens)
+        if ticket.key_holder == state.context.membership.local_member.address:
+            self._finish_key(request_id, used_tokens)
             return True
         holder = state.holders.get(ticket.epoch)
         witness = state.witnesses.get(ticket.epoch)
@@ -97,17 +97,17 @@
             if settled is not None:
                 self.agent.add_demand(settled.budget, used_tokens)
             if holder.has_witness:
-                self.want_mirror()
+                self.request_mirror()
         elif witness is not None and witness.is_sealed:
             witness.settle(ticket.number, used_tokens)
         else:
             # An unsealed witness hears of settlements from its holder, in order.
             return False
-        self._end_key(request_id, used_tokens)
+        self._finish_key(request_id, used_tokens)
         state.announce()
         return True
 
-    def _end_key(self, request_id: str, used_tokens: int) -> None:
+    def _finish_key(self, request_id: str, used_tokens: int) -> None:
         requests = self._state.requests
         if used_tokens > 0:
             requests.finish(request_id, self._state.context.clock.monotonic_s())
@@ -115,13 +115,13 @@
             # Given up before it cost anything: the key is free for another try.
             requests.forget(request_id)
 
-    def posted(self, ticket: Ticket) -> None:
+    def note_posted(self, ticket: Ticket) -> None:
         """Note that the bill of a reservation is in the log."""
         holder = self._state.holders.get(ticket.epoch)
         witness = self._state.witnesses.get(ticket.epoch)
         if holder is not None and ticket.number > 0:
             holder.note_posted(ticket.number)
-            self.want_mirror()
+            self.request_mirror()
         elif witness is not None and witness.is_sealed:
             witness.note_posted(ticket.number)
 
@@ -138,12 +138,12 @@
     async def run_mirror(self) -> None:
         """Send batches to the witness of the led epoch, one at a time, until cancelled."""
         while True:
-            await self._mirror_wanted.wait()
+            await self._mirror_requested.wait()
             leading = self._state.leading()
             batch = None if leading is None else leading[1].next_batch()
             if leading is None or batch is None or leading[0].witness is None:
-                self._mirror_wanted = anyio.Event()
-                self._release_lost()
+                self._mirror_requested = anyio.Event()
+                self._release_lost_epochs()
                 continue
             await self._send(leading[0], leading[1], batch)
 
@@ -160,45 +160,47 @@
                 timeout_s=context.timing.mirror_timeout_s,
             )
         except PeerError as error:
-            self._note_witness(reachable=False, detail=str(error))
-            self._release(batch, frozenset())
+            self._note_witness_state(is_reachable=False, detail=str(error))
+            self._resolve_waiting(batch, frozenset())
             await context.clock.sleep(_MIRROR_RETRY_S)
             return
-        self._note_witness(reachable=True, detail="")
-        self.take_answer(account, batch, answer)
+        self._note_witness_state(is_reachable=True, detail="")
+        self.apply_mirror_answer(account, batch, answer)
         if answer.is_sealed:
             emit(Event.EPOCH_LOST, shard=self._state.shard, epoch=batch.epoch)
-            self._release_lost()
+            self._release_lost_epochs()
 
-    def take_answer(
+    def apply_mirror_answer(
         self, account: HolderAccount, batch: MirrorBatch, answer: MirrorAnswer
     ) -> tuple[Reservation, ...]:
         """Take the witness's answer to a batch; return the reservations that may now be used."""
         usable = account.apply_answer(batch.number, answer)
         numbers = frozenset(r.number for r in usable)
-        self._release(batch, numbers)
+        self._resolve_waiting(batch, numbers)
         for reservation in batch.reservations:
-            self.agent.on_decided(batch.epoch, reservation.number, reservation.number in numbers)
+            self.agent.on_reservation_decided(
+                batch.epoch, reservation.number, reservation.number in numbers
+            )
         return usable
 
-    def _note_witness(self, *, reachable: bool, detail: str) -> None:
-        if self.witness_reachable and not reachable:
+    def _note_witness_state(self, *, is_reachable: bool, detail: str) -> None:
+        if self.is_witness_reachable and not is_reachable:
             emit(Event.WITNESS_LOST, shard=self._state.shard, detail=detail)
-        self.witness_reachable = reachable
+        self.is_witness_reachable = is_reachable
 
-    def _release(self, batch: MirrorBatch, usable: frozenset[int]) -> None:
+    def _resolve_waiting(self, batch: MirrorBatch, usable: frozenset[int]) -> None:
         for reservation in batch.reservations:
-            waiting = self._waiting.pop((batch.epoch, reservation.number), None)
-            if waiting is not None:
-                waiting.acknowledged = reservation.number in usable
-                waiting.done.set()
+            pending = self._pending_acknowledgements.pop((batch.epoch, reservation.number), None)
+            if pending is not None:
+                pending.is_acknowledged = reservation.number in usable
+                pending.done.set()
 
-    def _release_lost(self) -> None:
+    def _release_lost_epochs(self) -> None:
         """Let go of requests that wait in an epoch which this instance leads no more."""
         leading = self._state.leading()
         current = None if leading is None else leading[0].epoch
-        for key in [key for key in self._waiting if key[0] != current]:
-            self._waiting.pop(key).done.set()
+        for key in [key for key in self._pending_acknowledgements if key[0] != current]:
+            self._pending_acknowledgements.pop(key).done.set()
 
     def _find_key(self, call: ReserveCall) -> ReserveReply | None:
         state = self._state
@@ -208,10 +210,10 @@
             return None
         running = known.finished_at_s is None
         if running and state.context.membership.find(known.owner, now_s) is None:
-            return self._take_over(call)
-        return KnownKey(owner=known.owner, finished=not running)
+            return self._reassign_reservation(call)
+        return KnownKey(owner=known.owner, is_finished=not running)
 
-    def _take_over(self, call: ReserveCall) -> ReserveReply | None:
+    def _reassign_reservation(self, call: ReserveCall) -> ReserveReply | None:
         """Hand the reservation of a request whose owner died to the retry: one bill for both."""
         for epoch, account in [*self._state.holders.items(), *self._state.witnesses.items()]:
             if epoch not in self._state.fold.epochs:
@@ -233,66 +235,66 @@
             witness=witness.address if witness else "",
         )
 
-    async def _reserve_promoted(
+    async def _reserve_as_witness(
         self, promoted: tuple[EpochState, WitnessAccount], call: ReserveCall
     ) -> ReserveReply:
         epoch_state, account = promoted
         grant = epoch_state.grants.get(call.budget, Grant())
-        taken = account.reserve_own(
+        reservation = account.reserve_own(
             call.request_id, call.budget, call.bound_tokens, grant=grant, owner=call.owner
         )
-        if taken is not None:
-            return self._ticket(epoch_state, taken)
-        elsewhere = None if call.away else await reserve_elsewhere(self._state, call)
-        return elsewhere or Refusal(
+        if reservation is not None:
+            return self._ticket(epoch_state, reservation)
+        remote_ticket = None if call.is_from_remote else await reserve_remote(self._state, call)
+        return remote_ticket or Refusal(
             ErrorKind.BUDGET_OUT_OF_REACH,
             "the platform is out and the leaseholder is gone; "
             f"{account.free_own_tokens(call.budget, grant)} tokens can be spent here",
         )
 
-    def _hint(self) -> str:
-        current = self._state.current()
+    def _holder_hint(self) -> str:
+        current = self._state.current_epoch()
         if current is None or current.is_closed:
             return ""
         return current.holder.address
 
-    async def _reserve_leading(self, call: ReserveCall) -> ReserveReply:
+    async def _reserve_as_holder(self, call: ReserveCall) -> ReserveReply:
         state = self._state
         self.agent.note_bound(call.budget, call.bound_tokens)
         timing = state.context.timing
-        wait_s = away_wait_s(timing) if call.away else timing.grant_wait_s
+        wait_s = remote_call_wait_s(timing) if call.is_from_remote else timing.grant_wait_s
         deadline_s = state.context.clock.monotonic_s() + wait_s
-        may_ask_elsewhere = not call.away
+        can_ask_remote = not call.is_from_remote
         while True:
             leading = state.leading()
             if leading is None:
-                return NotHolder(self._hint())
+                return NotHolder(self._holder_hint())
             ticket = await self._try_reserve(leading, call)
             if ticket is not None:
                 self.agent.ask(call.budget)
                 return ticket
-            left_s = deadline_s - state.context.clock.monotonic_s()
+            remaining_s = deadline_s - state.context.clock.monotonic_s()
             # Nobody waits here for another data centre's request, unless the log can help.
-            waited = left_s <= 0 or (call.away and self.log_has_less(call))
-            refused = self.shortage(call, waited=waited)
-            if may_ask_elsewhere and not self._is_exhausted(refused) and self.log_has_less(call):
-                may_ask_elsewhere = False
-                elsewhere = await reserve_elsewhere(state, call)
-                if elsewhere is not None:
-                    return elsewhere
+            is_wait_over = remaining_s <= 0 or (call.is_from_remote and self.log_lacks_tokens(call))
+            refusal = self.shortage_refusal(call, is_wait_over=is_wait_over)
+            if can_ask_remote and not self._is_exhausted(refusal) and self.log_lacks_tokens(call):
+                can_ask_remote = False
+                remote_ticket = await reserve_remote(state, call)
+                if remote_ticket is not None:
+                    return remote_ticket
                 continue
-            if refused is not None or waited:
-                return refused or Refusal(ErrorKind.LEDGER_UNAVAILABLE)
-            await self._wait_for_escrow(call, left_s)
+            if refusal is not None or is_wait_over:
+                return refusal or Refusal(ErrorKind.LEDGER_UNAVAILABLE)
+            await self._wait_for_escrow(call, remaining_s)
 
     @staticmethod
-    def _is_exhausted(refused: Refusal | None) -> bool:
-        return refused is not None and refused.kind is ErrorKind.BUDGET_EXHAUSTED
+    def _is_exhausted(refusal: Refusal | None) -> bool:
+        return refusal is not None and refusal.kind is ErrorKind.BUDGET_EXHAUSTED
 
-    def log_has_less(self, call: ReserveCall) -> bool:
+    def log_lacks_tokens(self, call: ReserveCall) -> bool:
         """Return whether asking the log cannot bring what the call needs, or not now."""
         free = self._state.fold.ungranted_tokens(call.budget)
-        return self._state.context.log_is_out or free < call.bound_tokens
+        return self._state.context.is_log_unreachable or free < call.bound_tokens
 
     async def _try_reserve(
         self, leading: tuple[EpochState, HolderAccount], call: ReserveCall
@@ -300,17 +302,19 @@
         epoch_state, account = leading
         grant = epoch_state.grants.get(call.budget, Grant())
         for lane in self.lanes(account, call.budget):
-            taken = _reserve_in(account, call, grant, lane)
-            if taken is None:
+            reservation = _reserve_in_lane(account, call, grant, lane)
+            if reservation is None:
                 continue
-            if lane is Lane.OWN or await self._acknowledged(epoch_state.epoch, taken):
-                return self._ticket(epoch_state, taken)
-            account.settle(taken.number, 0)
-        if self.witness_reachable or not account.has_witness:
+            if lane is Lane.OWN or await self._wait_for_acknowledgement(
+                epoch_state.epoch, reservation
+            ):
+                return self._ticket(epoch_state, reservation)
+            account.settle(reservation.number, 0)
+        if self.is_witness_reachable or not account.has_witness:
             return None
         # The witness was lost while this request waited for it.
-        taken = _reserve_in(account, call, grant, Lane.OWN)
-        return None if taken is None else self._ticket(epoch_state, taken)
+        reservation = _reserve_in_lane(account, call, grant, Lane.OWN)
+        return None if reservation is None else self._ticket(epoch_state, reservation)
 
     def lanes(self, account: HolderAccount, budget: BudgetName) -> list[Lane]:
         """Return the lanes that a request may draw on now, in order.
@@ -320,62 +324,64 @@
         The allowance is for a lost witness, and is kept while the log has more to give. At the
         budget's end it is spent: holding it back would refuse requests that are paid for.
         """
-        if not account.has_witness or not self.witness_reachable:
+        if not account.has_witness or not self.is_witness_reachable:
             return [Lane.OWN]
         if self._state.fold.ungranted_tokens(budget) > 0:
             return [Lane.WITNESSED]
         return [Lane.WITNESSED, Lane.OWN]
 
-    async def _acknowledged(self, epoch: Epoch, taken: Reservation) -> bool:
-        waiting = _Waiting()
-        self._waiting[epoch, taken.number] = waiting
-        self.want_mirror()
+    async def _wait_for_acknowledgement(self, epoch: Epoch, reservation: Reservation) -> bool:
+        pending = _PendingAcknowledgement()
+        self._pending_acknowledgements[epoch, reservation.number] = pending
+        self.request_mirror()
         with anyio.move_on_after(2 * self._state.context.timing.mirror_timeout_s):
-            await waiting.done.wait()
-        self._waiting.pop((epoch, taken.number), None)
-        return waiting.acknowledged
+            await pending.done.wait()
+        self._pending_acknowledgements.pop((epoch, reservation.number), None)
+        return pending.is_acknowledged
 
-    async def _wait_for_escrow(self, call: ReserveCall, left_s: float) -> None:
+    async def _wait_for_escrow(self, call: ReserveCall, remaining_s: float) -> None:
         needed = self._state.needed_tokens
         needed[call.budget] = needed.get(call.budget, 0) + call.bound_tokens
         try:
             progress = self._state.progress
             self.agent.ask(call.budget)
-            with anyio.move_on_after(min(left_s, 0.1)):
+            with anyio.move_on_after(min(remaining_s, 0.1)):
                 await progress.wait()
         finally:
             needed[call.budget] -= call.bound_tokens
 
-    def shortage(self, call: ReserveCall, *, waited: bool) -> Refusal | None:
+    def shortage_refusal(self, call: ReserveCall, *, is_wait_over: bool) -> Refusal | None:
         """Return why the budget does not cover the call, or None when waiting may help."""
         leading = self._state.leading()
         if leading is None:
             return None
         epoch_state, account = leading
         fold = self._state.fold
-        paid = max(fold.paid_tokens.get(call.budget, 0), self._configured(call))
-        settled = sum(account.spent_tokens(call.budget, lane) for lane in Lane)
-        opened = account.open_tokens(call.budget)
-        returned = epoch_state.grants.get(call.budget, Grant()).returned_tokens
-        others = fold.reported_tokens(call.budget, excluded_epoch=epoch_state.epoch)
-        left = paid - others - (settled - opened)
-        numbers = f"needs up to {call.bound_tokens} tokens, {left} of {paid} are unspent"
-        if call.bound_tokens > left:
+        paid_tokens = max(fold.paid_tokens.get(call.budget, 0), self._configured_paid_tokens(call))
+        spent_tokens = sum(account.spent_tokens(call.budget, lane) for lane in Lane)
+        open_tokens = account.open_tokens(call.budget)
+        returned_tokens = epoch_state.grants.get(call.budget, Grant()).returned_tokens
+        other_epochs_tokens = fold.reported_tokens(call.budget, excluded_epoch=epoch_state.epoch)
+        unspent_tokens = paid_tokens - other_epochs_tokens - (spent_tokens - open_tokens)
+        numbers = (
+            f"needs up to {call.bound_tokens} tokens, {unspent_tokens} of {paid_tokens} are unspent"
+        )
+        if call.bound_tokens > unspent_tokens:
             return Refusal(ErrorKind.BUDGET_EXHAUSTED, numbers)
-        if self._state.context.log_is_out:
+        if self._state.context.is_log_unreachable:
             return Refusal(ErrorKind.BUDGET_OUT_OF_REACH, f"{numbers}; the platform is out")
-        if not waited:
+        if not is_wait_over:
             return None
-        if opened - returned > 0:
-            return Refusal(ErrorKind.BUDGET_RESERVED, f"{numbers}, {opened} reserved here")
+        if open_tokens - returned_tokens > 0:
+            return Refusal(ErrorKind.BUDGET_RESERVED, f"{numbers}, {open_tokens} reserved here")
         return Refusal(ErrorKind.BUDGET_OUT_OF_REACH, numbers)
 
-    def _configured(self, call: ReserveCall) -> int:
+    def _configured_paid_tokens(self, call: ReserveCall) -> int:
         budget = self._state.context.config().budgets.get(call.budget)
         return 0 if budget is None else budget.paid_tokens
 
 
-def _reserve_in(
+def _reserve_in_lane(
     account: HolderAccount, call: ReserveCall, grant: Grant, lane: Lane
 ) -> Reservation | None:
     return account.reserve(
--- a/mothstand/ledger/service.py
+++ b/mothstand/ledger/service.py
@@ -26,10 +26,10 @@
 
 #: Time for a takeover to finish while a request waits: suspicion plus the new epoch's append.
 _FIND_HOLDER_S = 3.0
-_FIND_AGAIN_S = 0.1
-_POSTED_EVERY_S = 1.0
+_FIND_HOLDER_RETRY_S = 0.1
+_POSTED_INTERVAL_S = 1.0
 _SETTLE_RETRY_S = 0.25
-_SETTLE_TRIES = 240
+_MAX_SETTLE_ATTEMPTS = 240
 
 
 class LedgerService:
@@ -55,11 +55,11 @@
         self.shard_count = shard_count
         self._context = context
         self._bills = bills
-        self._unsettled = 0
-        self._paid: dict[Shard, dict[BudgetName, int]] = {}
+        self._unsettled_count = 0
+        self._paid_tokens: dict[Shard, dict[BudgetName, int]] = {}
         bills.on_appended(self._on_bills_appended)
-        self._in_log: list[Ticket] = []
-        self._ticket_of: dict[str, Ticket] = {}
+        self._posted_tickets: list[Ticket] = []
+        self._tickets_by_request: dict[str, Ticket] = {}
         self.shards = {
             Shard(number): ShardNode(Shard(number), make_writer(Shard(number)), context, self._bill)
             for number in range(shard_count)
@@ -67,26 +67,26 @@
 
     # -- what peers ask of this instance -----------------------------------------------------
 
-    async def reserve_here(self, call: ReserveCall) -> ReserveReply:
+    async def reserve_local(self, call: ReserveCall) -> ReserveReply:
         """Reserve if this instance leads the shard."""
         return await self.shards[call.shard].reserver.reserve(call)
 
-    def settle_here(self, ticket: Ticket, used_tokens: int, request_id: str) -> bool:
+    def settle_local(self, ticket: Ticket, used_tokens: int, request_id: str) -> bool:
         """Settle if this instance knows the epoch and may."""
         return self.shards[ticket.shard].reserver.settle(ticket, used_tokens, request_id)
 
-    def posted_here(self, ticket: Ticket) -> None:
+    def note_posted_local(self, ticket: Ticket) -> None:
         """Note that a bill is in the log."""
-        self.shards[ticket.shard].reserver.posted(ticket)
+        self.shards[ticket.shard].reserver.note_posted(ticket)
 
-    def mirror_here(self, shard: Shard, batch: MirrorBatch) -> MirrorAnswer | None:
+    def mirror_local(self, shard: Shard, batch: MirrorBatch) -> MirrorAnswer | None:
         """Acknowledge a batch as a witness; None says "not me"."""
         return self.shards[shard].reserver.mirror(batch)
 
     # -- what this instance's requests ask of the ledger --------------------------------------
 
     async def reserve(
-        self, budget: BudgetName, request_id: str, bound_tokens: int, *, keyed: bool
+        self, budget: BudgetName, request_id: str, bound_tokens: int, *, is_keyed: bool
     ) -> Ticket | Refusal | KnownKey:
         """Reserve a request's upper bound at the budget's leaseholder.
 
@@ -101,7 +101,7 @@
             budget=budget,
             bound_tokens=bound_tokens,
             owner=self._context.membership.local_member.incarnation,
-            keyed=keyed,
+            is_keyed=is_keyed,
         )
         clock = self._context.clock
         deadline_s = clock.monotonic_s() + _FIND_HOLDER_S
@@ -111,7 +111,7 @@
                 return reply
             if clock.monotonic_s() >= deadline_s:
                 return Refusal(ErrorKind.LEDGER_UNAVAILABLE, f"shard {call.shard} has no holder")
-            await clock.sleep(_FIND_AGAIN_S)
+            await clock.sleep(_FIND_HOLDER_RETRY_S)
 
     async def settle(
         self, ticket: Ticket, budget: BudgetName, request_id: str, used_tokens: int
@@ -122,29 +122,29 @@
         cannot lose it.
         """
         if used_tokens > 0:
-            self._ticket_of[request_id] = ticket
+            self._tickets_by_request[request_id] = ticket
             self._bill(BillLine(request_id, budget, used_tokens))
-        self._unsettled += 1
+        self._unsettled_count += 1
         try:
-            await self._settle_until_taken(ticket, request_id, used_tokens)
-            if ticket.home:
+            await self._settle_until_accepted(ticket, request_id, used_tokens)
+            if ticket.key_holder:
                 # Best effort: at the worst a retry is told for longer than need be to join.
-                await self._settle_at(ticket.home, ticket, request_id, used_tokens)
+                await self._settle_at(ticket.key_holder, ticket, request_id, used_tokens)
         finally:
-            self._unsettled -= 1
+            self._unsettled_count -= 1
 
     @property
-    def unsettled(self) -> int:
+    def unsettled_count(self) -> int:
         """Number of settlements that no side has taken yet."""
-        return self._unsettled
+        return self._unsettled_count
 
     def partners(self) -> set[str]:
         """Return the names of the peers that share an epoch with this instance."""
-        me = self._context.membership.local_member.name
-        pairs = (node.state.pair() for node in self.shards.values())
-        return {name for pair in pairs if me in pair for name in pair if name != me}
+        local_name = self._context.membership.local_member.name
+        pairs = (node.state.epoch_member_names() for node in self.shards.values())
+        return {name for pair in pairs if local_name in pair for name in pair if name != local_name}
 
-    def leads_any(self, others: bool) -> bool:
+    def hand_over(self, has_peers: bool) -> bool:
         """Hand over at a stop; return whether this instance still leads a shard.
 
         Parameters
@@ -154,50 +154,50 @@
             their rest goes back to the log.
         """
         leading = [node for node in self.shards.values() if node.state.leading() is not None]
-        if not others:
+        if not has_peers:
             for node in leading:
                 node.close()
-        return bool(leading) and others
+        return bool(leading) and has_peers
 
     # -- background work ----------------------------------------------------------------------
 
     def on_config(self) -> None:
         """Sort the configured budgets by shard, once for each configuration."""
-        paid: dict[Shard, dict[BudgetName, int]] = {}
+        paid_tokens: dict[Shard, dict[BudgetName, int]] = {}
         for name, budget in self._context.config().budgets.items():
             shard = Shard(shard_of(name, self.shard_count))
-            paid.setdefault(shard, {})[name] = budget.paid_tokens
-        self._paid = paid
+            paid_tokens.setdefault(shard, {})[name] = budget.paid_tokens
+        self._paid_tokens = paid_tokens
 
     def tick(self) -> None:
         """Let every shard do what is due."""
         for shard, node in self.shards.items():
-            node.tick(self._paid.get(shard, {}))
+            node.tick(self._paid_tokens.get(shard, {}))
 
     async def run(self) -> None:
         """Mirror and confirm bills until cancelled."""
         async with anyio.create_task_group() as tasks:
             for node in self.shards.values():
                 tasks.start_soon(node.reserver.run_mirror)
-            tasks.start_soon(self._run_posted)
+            tasks.start_soon(self._run_posted_reports)
 
-    async def _run_posted(self) -> None:
+    async def _run_posted_reports(self) -> None:
         while True:
-            await self._context.clock.sleep(_POSTED_EVERY_S)
-            in_log, self._in_log = self._in_log, []
+            await self._context.clock.sleep(_POSTED_INTERVAL_S)
+            posted_tickets, self._posted_tickets = self._posted_tickets, []
             by_holder: dict[str, list[Ticket]] = {}
-            for ticket in in_log:
+            for ticket in posted_tickets:
                 by_holder.setdefault(ticket.holder, []).append(ticket)
             for address, tickets in by_holder.items():
-                await self._say_posted(address, tuple(tickets))
+                await self._report_posted(address, tuple(tickets))
 
-    async def _say_posted(self, address: str, tickets: tuple[Ticket, ...]) -> None:
+    async def _report_posted(self, address: str, tickets: tuple[Ticket, ...]) -> None:
         if address == self._context.membership.local_member.address:
             for ticket in tickets:
-                self.posted_here(ticket)
+                self.note_posted_local(ticket)
             return
         try:
-            await self._context.calls.posted(address, tickets, timeout_s=1.0)
+            await self._context.calls.report_posted(address, tickets, timeout_s=1.0)
         except PeerError:
             # Then the holder may post the bills again for a dead instance; the second is dropped.
             return
@@ -208,9 +208,9 @@
     def _on_bills_appended(self, records: tuple[BillsPosted, ...]) -> None:
         for record in records:
             for line in record.lines:
-                ticket = self._ticket_of.pop(line.request_id, None)
+                ticket = self._tickets_by_request.pop(line.request_id, None)
                 if ticket is not None:
-                    self._in_log.append(ticket)
+                    self._posted_tickets.append(ticket)
 
     async def _reserve_once(self, call: ReserveCall) -> ReserveReply:
         asked: set[str] = set()
@@ -228,7 +228,7 @@
 
     def _likely_holders(self, shard: Shard) -> list[str]:
         """Return addresses to try: the epoch's two as the log names them, then by rendezvous."""
-        current = self.shards[shard].state.current()
+        current = self.shards[shard].state.current_epoch()
         named = []
         if current is not None:
             named.append(current.holder.address)
@@ -241,7 +241,7 @@
 
     async def _reserve_at(self, address: str, call: ReserveCall) -> ReserveReply:
         if address == self._context.membership.local_member.address:
-            return await self.reserve_here(call)
+            return await self.reserve_local(call)
         timing = self._context.timing
         timeout_s = timing.grant_wait_s + 4 * timing.mirror_timeout_s
         try:
@@ -251,8 +251,10 @@
             # or for a keyed request until its retry.
             return NotHolder("")
 
-    async def _settle_until_taken(self, ticket: Ticket, request_id: str, used_tokens: int) -> None:
-        for attempt in range(_SETTLE_TRIES):
+    async def _settle_until_accepted(
+        self, ticket: Ticket, request_id: str, used_tokens: int
+    ) -> None:
+        for attempt in range(_MAX_SETTLE_ATTEMPTS):
             for address in (ticket.holder, ticket.witness):
                 if address and await self._settle_at(address, ticket, request_id, used_tokens):
                     return
@@ -264,7 +266,7 @@
         self, address: str, ticket: Ticket, request_id: str, used_tokens: int
     ) -> bool:
         if address == self._context.membership.local_member.address:
-            return self.settle_here(ticket, used_tokens, request_id)
+            return self.settle_local(ticket, used_tokens, request_id)
         try:
             return await self._context.calls.settle(
                 address, ticket, used_tokens, request_id, timeout_s=1.0
--- a/mothstand/ledger/shard.py
+++ b/mothstand/ledger/shard.py
@@ -41,7 +41,7 @@
 ORPHAN_HOLD_S = 120.0
 
 #: Seconds between two looks at requests whose instance may have died.
-SWEEP_EVERY_S = 2.0
+SWEEP_INTERVAL_S = 2.0
 
 #: Offsets of a shard's stream between two snapshots.
 SNAPSHOT_EVERY_RECORDS = 200
@@ -67,13 +67,13 @@
     ) -> None:
         self.state = ShardState(shard, context)
         self.reserver = Reserver(self.state)
-        self.agent = EscrowAgent(self.state, writer, self.reserver.want_mirror)
+        self.agent = EscrowAgent(self.state, writer, self.reserver.request_mirror)
         self.reserver.attach(self.agent)
         self._writer = writer
         self._context = context
         self._bill = bill
-        self._opening: RecordId | None = None
-        self._reported: dict[tuple[Epoch, Side], tuple[BudgetSpend, ...]] = {}
+        self._opening_record_id: RecordId | None = None
+        self._reported_spends: dict[tuple[Epoch, Side], tuple[BudgetSpend, ...]] = {}
         self._orphaned_at_s: dict[str, float] = {}
         self._sweep_at_s = 0.0
         self._paid_tokens: dict[BudgetName, int] | None = None
@@ -84,15 +84,15 @@
         if isinstance(record, LedgerSnapshot):
             self._snapshot_offset = max(self._snapshot_offset, record.at_offset)
             return
-        before = self.state.current()
+        prior = self.state.current_epoch()
         outcome = self.state.fold.apply(offset, record)
-        if record.record_id == self._opening:
-            self._opening = None
+        if record.record_id == self._opening_record_id:
+            self._opening_record_id = None
         if isinstance(record, GrantAsked):
-            self.agent.on_grant(record)
+            self.agent.on_grant_decided(record)
         if outcome.accepted and isinstance(record, EpochOpened):
-            self._on_epoch(Epoch(offset), before)
-        self.agent.give_back()
+            self._on_epoch_opened(Epoch(offset), prior)
+        self.agent.return_surplus()
         self.state.announce()
 
     def load(self, snapshot: LedgerSnapshot) -> None:
@@ -115,16 +115,16 @@
         if self.state.leading() is not None:
             if paid_tokens is not self._paid_tokens:
                 self._paid_tokens = paid_tokens
-                self.agent.pay(paid_tokens)
+                self.agent.submit_paid_tokens(paid_tokens)
             self.agent.ask_for_waiting()
-            self.agent.give_back()
+            self.agent.return_surplus()
             self._snapshot_if_due()
         if now_s >= self._sweep_at_s:
             # These look at every open reservation, so not each time.
-            self._sweep_at_s = now_s + SWEEP_EVERY_S
-            self._bill_for_the_dead(now_s)
+            self._sweep_at_s = now_s + SWEEP_INTERVAL_S
+            self._bill_for_dead_owners(now_s)
             self._report_late_settlements()
-            self._forget_retired()
+            self._drop_retired_accounts()
             self.state.requests.expire(now_s)
 
     def close(self) -> None:
@@ -148,15 +148,15 @@
         self._snapshot_offset = self.state.fold.offset
         self._writer.submit(self.state.fold.snapshot)
 
-    def _on_epoch(self, epoch: Epoch, before: EpochState | None) -> None:
+    def _on_epoch_opened(self, epoch: Epoch, prior: EpochState | None) -> None:
         opened = self.state.fold.epochs[epoch]
         membership = self._context.membership
         if opened.data_centre != membership.data_centre:
             return
         if opened.holder == membership.local_member:
             self.state.holders[epoch] = HolderAccount(epoch, has_witness=opened.witness is not None)
-            self.reserver.witness_reachable = True
-            self.agent.on_epoch()
+            self.reserver.is_witness_reachable = True
+            self.agent.on_epoch_opened()
             emit(
                 Event.EPOCH_OPENED,
                 shard=self.state.shard,
@@ -166,10 +166,10 @@
             )
         if opened.witness == membership.local_member:
             self.state.witnesses[epoch] = WitnessAccount(epoch)
-        if before is not None:
-            self._leave_epoch(before.epoch)
+        if prior is not None:
+            self._close_superseded_epoch(prior.epoch)
 
-    def _leave_epoch(self, epoch: Epoch) -> None:
+    def _close_superseded_epoch(self, epoch: Epoch) -> None:
         """Spend nothing more in a superseded epoch and close this instance's side of it."""
         holder = self.state.holders.get(epoch)
         if holder is not None:
@@ -182,7 +182,7 @@
             self._adopt_requests(witness)
             emit(Event.EPOCH_SEALED, shard=self.state.shard, epoch=epoch)
         self._report_closed(epoch)
-        self.reserver.want_mirror()
+        self.reserver.request_mirror()
 
     def _adopt_requests(self, witness: WitnessAccount) -> None:
         """Know the keys of the lost leaseholder's requests, so that retries do not run twice."""
@@ -199,9 +199,9 @@
             return
         for side, account in self._sides(epoch):
             spends = account.budget_spends()
-            if self._reported.get((epoch, side)) == spends:
+            if self._reported_spends.get((epoch, side)) == spends:
                 continue
-            self._reported[epoch, side] = spends
+            self._reported_spends[epoch, side] = spends
             self._writer.submit(_closed_record(epoch, side, spends))
             emit(Event.EPOCH_CLOSED, shard=self.state.shard, epoch=epoch, side=side.value)
 
@@ -215,7 +215,7 @@
 
     def _report_late_settlements(self) -> None:
         """Lower the closed sides of epochs whose last reservations were settled since."""
-        current = self.state.current()
+        current = self.state.current_epoch()
         for epoch in {*self.state.holders, *self.state.witnesses}:
             if current is None or epoch == current.epoch:
                 continue
@@ -223,7 +223,7 @@
                 self._report_closed(epoch)
 
     def _open_if_due(self, now_s: float) -> None:
-        if self._opening is not None or self._context.log_silent_s() > 0:
+        if self._opening_record_id is not None or self._context.log_unreachable_s() > 0:
             return
         plan = plan_epoch(self.state.fold, self._context.membership, now_s)
         if plan is None:
@@ -231,12 +231,12 @@
         record = self._writer.submit(
             lambda record_id: plan.to_record(record_id, self.state.fold, self._context.membership)
         )
-        self._opening = record.record_id
+        self._opening_record_id = record.record_id
 
     def _promote_if_due(self, now_s: float) -> None:
         """Spend the promotion share of a silent holder's epoch while the log is out."""
-        current = self.state.current()
-        if current is None or not self._context.log_is_out:
+        current = self.state.current_epoch()
+        if current is None or not self._context.is_log_unreachable:
             return
         witness = self.state.witnesses.get(current.epoch)
         if witness is None or witness.is_sealed:
@@ -247,7 +247,7 @@
         self._adopt_requests(witness)
         emit(Event.WITNESS_PROMOTED, shard=self.state.shard, epoch=current.epoch)
 
-    def _forget_retired(self) -> None:
+    def _drop_retired_accounts(self) -> None:
         """Drop the accounts of epochs that the fold keeps no more."""
         for accounts in (self.state.holders, self.state.witnesses):
             for epoch in [e for e in accounts if e not in self.state.fold.epochs]:
@@ -255,31 +255,31 @@
                 if not accounts[epoch].open_reservations:
                     del accounts[epoch]
 
-    def _bill_for_the_dead(self, now_s: float) -> None:
+    def _bill_for_dead_owners(self, now_s: float) -> None:
         """Post the bills of instances that died before they could."""
-        for _, account in self._billable():
+        for _, account in self._billable_accounts():
             for number, settled in list(account.unposted_requests.items()):
-                if self._is_dead(settled.reservation.owner, now_s, for_s=0.0):
+                if self._is_dead(settled.reservation.owner, now_s, dead_for_s=0.0):
                     self._bill(_bill_line(settled))
                     account.note_posted(number)
             for number, reservation in list(account.open_reservations.items()):
-                if self._is_dead(reservation.owner, now_s, for_s=ORPHAN_HOLD_S):
+                if self._is_dead(reservation.owner, now_s, dead_for_s=ORPHAN_HOLD_S):
                     account.settle(number, reservation.bound_tokens)
                     line = _bill_line(SettledRequest(reservation, reservation.bound_tokens))
                     self._bill(BillLine(line.request_id, line.budget, line.tokens, estimated=True))
                     account.note_posted(number)
 
-    def _billable(self) -> list[tuple[Epoch, HolderAccount | WitnessAccount]]:
+    def _billable_accounts(self) -> list[tuple[Epoch, HolderAccount | WitnessAccount]]:
         """Return the accounts that speak for their epoch: no witness does before it seals."""
         sealed = [(e, w) for e, w in self.state.witnesses.items() if w.is_sealed]
         return [*self.state.holders.items(), *sealed]
 
-    def _is_dead(self, owner: str, now_s: float, *, for_s: float) -> bool:
+    def _is_dead(self, owner: str, now_s: float, *, dead_for_s: float) -> bool:
         # Reservations for a return of escrow have no owner and are never settled.
         if not owner or self._context.membership.find(owner, now_s) is not None:
             self._orphaned_at_s.pop(owner, None)
             return False
-        return now_s - self._orphaned_at_s.setdefault(owner, now_s) >= for_s
+        return now_s - self._orphaned_at_s.setdefault(owner, now_s) >= dead_for_s
 
 
 def _closed_record(
