--- a/mothstand/ledger/state.py
+++ b/mothstand/ledger/state.py
@@ -43,13 +43,13 @@
     clock: Clock
     timing: TimingSection
     config: Callable[[], FleetConfig]
-    log_silent_s: Callable[[], float]
-    data_centres: Callable[[], int]
+    log_unreachable_s: Callable[[], float]
+    data_centre_count: Callable[[], int]
 
     @property
-    def log_is_out(self) -> bool:
+    def is_log_unreachable(self) -> bool:
         """Whether the log has been silent for long."""
-        return self.log_silent_s() >= UNREACHABLE_AFTER_S
+        return self.log_unreachable_s() >= UNREACHABLE_AFTER_S
 
 
 @dataclass(slots=True)
@@ -75,21 +75,23 @@
         self.fold = LedgerFold(self.shard)
         self.requests = RequestIndex(self.context.config().answer_kept_s)
 
-    def current(self) -> EpochState | None:
+    def current_epoch(self) -> EpochState | None:
         """Return the current epoch of this data centre."""
         return self.fold.current_epoch(self.context.membership.data_centre)
 
-    def elsewhere(self, budget: BudgetName) -> list[EpochState]:
+    def remote_epochs(self, budget: BudgetName) -> list[EpochState]:
         """Return other data centres' current epochs that were granted escrow of a budget."""
-        here = self.context.membership.data_centre
+        local_data_centre = self.context.membership.data_centre
         epochs = (
-            self.fold.epochs[e] for place, e in self.fold.current_epochs.items() if place != here
+            self.fold.epochs[e]
+            for place, e in self.fold.current_epochs.items()
+            if place != local_data_centre
         )
         return [state for state in epochs if budget in state.grants]
 
-    def pair(self) -> set[str]:
+    def epoch_member_names(self) -> set[str]:
         """Return the names of the current epoch's leaseholder and witness."""
-        current = self.current()
+        current = self.current_epoch()
         if current is None:
             return set()
         members = (current.holder, current.witness)
@@ -97,7 +99,7 @@
 
     def leading(self) -> tuple[EpochState, HolderAccount] | None:
         """Return the current epoch and its account if this instance may spend in it."""
-        state = self.current()
+        state = self.current_epoch()
         if state is None or state.is_closed:
             return None
         account = self.holders.get(state.epoch)
@@ -107,7 +109,7 @@
 
     def promoted(self) -> tuple[EpochState, WitnessAccount] | None:
         """Return the current epoch and its account if this instance spends as its witness."""
-        state = self.current()
+        state = self.current_epoch()
         account = None if state is None else self.witnesses.get(state.epoch)
         if state is None or account is None or not account.is_promoted:
             return None
--- a/mothstand/operators/explain.py
+++ b/mothstand/operators/explain.py
@@ -40,19 +40,21 @@
 class HolderAccount:
     """What one start of an instance last said of its claim on a budget, in tokens."""
 
-    claimed: int = 0
-    spent: int = 0
-    reserved: int = 0
-    given: int = 0
-    received: int = 0
-    doubtful: int = 0
+    claimed_tokens: int = 0
+    spent_tokens: int = 0
+    reserved_tokens: int = 0
+    given_tokens: int = 0
+    received_tokens: int = 0
+    uncertain_tokens: int = 0
     reclaimed_at_s: float | None = None
 
     @property
     def unused_tokens(self) -> int:
         """What is claimed and neither used, in doubt, set aside nor given away."""
-        taken = self.spent + self.doubtful + self.reserved + self.given
-        return max(0, self.claimed - taken + self.received)
+        unavailable_tokens = (
+            self.spent_tokens + self.uncertain_tokens + self.reserved_tokens + self.given_tokens
+        )
+        return max(0, self.claimed_tokens - unavailable_tokens + self.received_tokens)
 
 
 @dataclass(slots=True)
@@ -61,14 +63,14 @@
 
     prepaid_tokens: int = 0
     consumed_tokens: int = 0
-    doubtful_tokens: int = 0
+    uncertain_tokens: int = 0
     holders: dict[Holder, HolderAccount] = field(default_factory=lambda: defaultdict(HolderAccount))
-    refused: Counter[str] = field(default_factory=Counter)
+    refusals: Counter[str] = field(default_factory=Counter)
 
     @property
     def free_tokens(self) -> int:
         """What nobody has claimed."""
-        return self.prepaid_tokens - sum(h.claimed for h in self.holders.values())
+        return self.prepaid_tokens - sum(h.claimed_tokens for h in self.holders.values())
 
 
 @dataclass(slots=True)
@@ -86,64 +88,66 @@
     """
 
     budgets: dict[str, BudgetAccount] = field(default_factory=lambda: defaultdict(BudgetAccount))
-    living: dict[str, str] = field(default_factory=dict)
-    refused: dict[int, Counter[str]] = field(default_factory=lambda: defaultdict(Counter))
-    faults: list[str] = field(default_factory=list)
+    latest_incarnations: dict[str, str] = field(default_factory=dict)
+    refusals_by_second: dict[int, Counter[str]] = field(
+        default_factory=lambda: defaultdict(Counter)
+    )
+    parse_errors: list[str] = field(default_factory=list)
 
-    def take(self, event: LoggedEvent) -> None:
+    def apply(self, event: LoggedEvent) -> None:
         """Take one event; events must come in the order of their times."""
         fields = event.fields
         if event.number == Event.INSTANCE_STARTED.number:
-            self.living[fields["instance"]] = fields["incarnation"]
+            self.latest_incarnations[fields["instance"]] = fields["incarnation"]
         elif event.number == Event.CONFIG_IN_FORCE.number:
             for budget, tokens in fields.get("prepaid", {}).items():
                 account = self.budgets[budget]
                 account.prepaid_tokens = max(account.prepaid_tokens, tokens)
         elif event.number in (Event.CLAIMS_WRITTEN.number, Event.CLAIMS_RECLAIMED.number):
-            self._take_claims(event)
+            self._apply_claims(event)
         elif event.number == Event.TOKENS_HANDED_OVER.number:
             holder = Holder(*fields["holder"])
-            self.budgets[fields["budget"]].holders[holder].given += fields["tokens"]
+            self.budgets[fields["budget"]].holders[holder].given_tokens += fields["tokens"]
         elif event.number in (Event.REQUEST_ANSWERED.number, Event.REQUEST_LEFT.number):
-            in_doubt = fields.get("tokens_in_doubt", 0)
-            self.budgets[fields["workspace"]].consumed_tokens += fields["tokens"] - in_doubt
-            self.budgets[fields["workspace"]].doubtful_tokens += in_doubt
+            uncertain_tokens = fields.get("tokens_in_doubt", 0)
+            self.budgets[fields["workspace"]].consumed_tokens += fields["tokens"] - uncertain_tokens
+            self.budgets[fields["workspace"]].uncertain_tokens += uncertain_tokens
         elif event.number == Event.REQUEST_REFUSED.number:
-            self._take_refusal(event)
+            self._apply_refusal(event)
 
     def is_dead(self, holder: Holder) -> bool:
         """Return whether a later start of its instance is known."""
-        latest = self.living.get(holder.instance)
+        latest = self.latest_incarnations.get(holder.instance)
         return latest is not None and latest != holder.incarnation
 
-    def _take_claims(self, event: LoggedEvent) -> None:
+    def _apply_claims(self, event: LoggedEvent) -> None:
         holder = Holder(*event.fields["holder"])
-        own = event.number == Event.CLAIMS_WRITTEN.number
+        is_own = event.number == Event.CLAIMS_WRITTEN.number
         for budget, claim in event.fields["claims"].items():
             account = self.budgets[budget].holders[holder]
-            account.claimed = claim["claimed"]
-            if not own:
+            account.claimed_tokens = claim["claimed"]
+            if not is_own:
                 account.reclaimed_at_s = event.at_s
                 continue
-            account.spent = claim["spent"]
-            account.reserved = claim["reserved"]
-            account.given = claim["given"]
-            account.received = claim["received"]
-            account.doubtful = claim.get("in_doubt", 0)
+            account.spent_tokens = claim["spent"]
+            account.reserved_tokens = claim["reserved"]
+            account.given_tokens = claim["given"]
+            account.received_tokens = claim["received"]
+            account.uncertain_tokens = claim.get("in_doubt", 0)
 
-    def _take_refusal(self, event: LoggedEvent) -> None:
+    def _apply_refusal(self, event: LoggedEvent) -> None:
         kind = event.fields["kind"]
-        found = _NEEDED_AND_HELD.match(event.fields.get("detail", ""))
-        if found is not None:
-            budget, needed, held = found.group(1), int(found.group(2)), int(found.group(3))
+        match = _NEEDED_AND_HELD.match(event.fields.get("detail", ""))
+        if match is not None:
+            budget, needed, held = match.group(1), int(match.group(2)), int(match.group(3))
             kind = "enough held here" if held >= needed else "too little held here"
-            self.budgets[budget].refused[kind] += 1
+            self.budgets[budget].refusals[kind] += 1
         elif kind == "budget_exhausted":
-            self.budgets[event.fields["detail"].partition(":")[0]].refused[kind] += 1
-        self.refused[int(event.at_s)][kind] += 1
+            self.budgets[event.fields["detail"].partition(":")[0]].refusals[kind] += 1
+        self.refusals_by_second[int(event.at_s)][kind] += 1
 
 
-def read_events(lines: Iterable[str], name: str, faults: list[str]) -> Iterator[LoggedEvent]:
+def read_events(lines: Iterable[str], name: str, parse_errors: list[str]) -> Iterator[LoggedEvent]:
     """Return the events of a log; lines of other programs are passed over.
 
     Parameters
@@ -154,14 +158,16 @@
         Gets a line for each event that is cut off or not as this version writes it.
     """
     for number, line in enumerate(lines, start=1):
-        found = _LINE.search(line)
-        if found is None:
+        match = _LINE.search(line)
+        if match is None:
             continue
-        hours, minutes, seconds, event_number, text = found.groups()
+        hours, minutes, seconds, event_number, text = match.groups()
         try:
             fields = json.loads(text)
         except ValueError:
-            faults.append(f"{name}:{number}: an event that is cut off or not JSON: {text[:60]!r}")
+            parse_errors.append(
+                f"{name}:{number}: an event that is cut off or not JSON: {text[:60]!r}"
+            )
             continue
         at_s = int(hours) * 3600 + int(minutes) * 60 + float(seconds)
         yield LoggedEvent(at_s, int(event_number), fields)
@@ -172,7 +178,7 @@
     explanation = Explanation()
     events: list[tuple[str, LoggedEvent]] = []
     for name, lines in logs.items():
-        events += [(name, event) for event in read_events(lines, name, explanation.faults)]
+        events += [(name, event) for event in read_events(lines, name, explanation.parse_errors)]
     # A day's logs may go over midnight.
     if events and max(e.at_s for _, e in events) - min(e.at_s for _, e in events) > _DAY_S / 2:
         events.sort(key=lambda pair: (pair[1].at_s < _DAY_S / 2, pair[1].at_s))
@@ -180,9 +186,11 @@
         events.sort(key=lambda pair: pair[1].at_s)
     for name, event in events:
         try:
-            explanation.take(event)
+            explanation.apply(event)
         except (KeyError, TypeError, ValueError) as error:
-            explanation.faults.append(f"{name}: MS{event.number} of another version: {error!r}")
+            explanation.parse_errors.append(
+                f"{name}: MS{event.number} of another version: {error!r}"
+            )
     return explanation
 
 
@@ -208,25 +216,25 @@
         figures = (
             budget.prepaid_tokens,
             budget.consumed_tokens,
-            budget.doubtful_tokens,
+            budget.uncertain_tokens,
             sum(h.unused_tokens for h in alive),
             budget.free_tokens,
             sum(h.unused_tokens for h in dead),
-            sum(h.reserved for h in dead),
-            budget.refused.total(),
+            sum(h.reserved_tokens for h in dead),
+            budget.refusals.total(),
         )
-        why = ", ".join(f"{count} {kind}" for kind, count in budget.refused.most_common())
-        yield f"{name:16}" + "".join(f"{figure:>11}" for figure in figures) + f"  {why}"
+        reasons = ", ".join(f"{count} {kind}" for kind, count in budget.refusals.most_common())
+        yield f"{name:16}" + "".join(f"{figure:>11}" for figure in figures) + f"  {reasons}"
     yield from _stranded_lines(explanation)
     yield "refused, by second:"
-    for second, kinds in sorted(explanation.refused.items()):
-        told = ", ".join(f"{count} {kind}" for kind, count in kinds.most_common())
-        yield f"  {second // 3600:02}:{second // 60 % 60:02}:{second % 60:02}  {told}"
-    yield from explanation.faults
+    for second, kinds in sorted(explanation.refusals_by_second.items()):
+        counts = ", ".join(f"{count} {kind}" for kind, count in kinds.most_common())
+        yield f"  {second // 3600:02}:{second // 60 % 60:02}:{second % 60:02}  {counts}"
+    yield from explanation.parse_errors
 
 
 #: Strandings told one by one: a dozen of the largest say where a day's tokens lie.
-_MOST_TOLD = 12
+_MAX_STRANDED_LINES = 12
 
 
 def _stranded_lines(explanation: Explanation) -> Iterator[str]:
@@ -237,6 +245,6 @@
         if explanation.is_dead(holder) and account.unused_tokens
     ]
     yield "stranded with ended processes, the largest:"
-    for tokens, name, holder, account in sorted(stranded, reverse=True)[:_MOST_TOLD]:
-        proven = "no proof of its end" if account.reclaimed_at_s is None else "rest given back"
-        yield f"  {tokens:>9} of {name} with {holder.instance}/{holder.incarnation}: {proven}"
+    for tokens, name, holder, account in sorted(stranded, reverse=True)[:_MAX_STRANDED_LINES]:
+        proof = "no proof of its end" if account.reclaimed_at_s is None else "rest given back"
+        yield f"  {tokens:>9} of {name} with {holder.instance}/{holder.incarnation}: {proof}"
--- a/mothstand/operators/publish.py
+++ b/mothstand/operators/publish.py
@@ -26,13 +26,13 @@
     from ..core.records import SectionChange
     from ..peers.client import GrpcPeers
 
-_APPEND_TRIES = 20
+_MAX_APPEND_ATTEMPTS = 20
 _APPEND_RETRY_S = 0.25
-_WATCH_EVERY_S = 0.1
+_POLL_INTERVAL_S = 0.1
 
 
 @dataclass(frozen=True, slots=True)
-class Published:
+class PublishResult:
     """What became of a publication.
 
     Parameters
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class InForce:
+class RolloutStatus:
     """Where a configuration is in force.
 
     Parameters
@@ -56,14 +56,14 @@
         Names of instances: at the offset or past it, still before it, and without an answer.
     """
 
-    reached: tuple[str, ...]
+    up_to_date: tuple[str, ...]
     behind: tuple[str, ...]
-    silent: tuple[str, ...]
+    unresponsive: tuple[str, ...]
 
     @property
-    def everywhere(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether every listed instance has it."""
-        return not self.behind and not self.silent
+        return not self.behind and not self.unresponsive
 
 
 class Publisher:
@@ -82,7 +82,7 @@
         # A new author for each publication: a retry after a lost answer keeps its id.
         self._author = f"{operator}:{uuid.uuid4().hex[:12]}"
 
-    async def publish(self, sections: Sections, *, base_offset: int | None = None) -> Published:
+    async def publish(self, sections: Sections, *, base_offset: int | None = None) -> PublishResult:
         """Append the folder's changes and return what the fold decided.
 
         Parameters
@@ -105,7 +105,7 @@
             )
         changes = diff_sections(fold.state.sections, sections)
         if not changes:
-            return Published(fold.state.offset, Outcome(accepted=True), ())
+            return PublishResult(fold.state.offset, Outcome(accepted=True), ())
         record = ConfigPublished(
             record_id=RecordId(self._author, 1),
             base_offset=fold.state.offset,
@@ -117,27 +117,27 @@
         return await self._read_back(record)
 
     async def _append(self, payload: bytes) -> None:
-        for attempt in range(_APPEND_TRIES):
+        for attempt in range(_MAX_APPEND_ATTEMPTS):
             try:
                 await self._log.append(CONFIG_STREAM, payload)
                 return
             except LogError:
-                if attempt == _APPEND_TRIES - 1:
+                if attempt == _MAX_APPEND_ATTEMPTS - 1:
                     raise
                 await self._clock.sleep(_APPEND_RETRY_S)
 
-    async def _read_back(self, record: ConfigPublished) -> Published:
+    async def _read_back(self, record: ConfigPublished) -> PublishResult:
         """Return what every reader of the log decides about the record."""
         fold = await read_config(self._log)
-        found = [
+        offsets = [
             offset
             for offset, other in await read_stream(self._log, CONFIG_STREAM)
             if other.record_id == record.record_id
         ]
-        if not found:
+        if not offsets:
             raise LogError("the record is not in the log; publish again")
-        entry = next(entry for entry in fold.audit if entry.offset == found[0])
-        return Published(entry.offset, entry.outcome, record.changes)
+        entry = next(entry for entry in fold.audit if entry.offset == offsets[0])
+        return PublishResult(entry.offset, entry.outcome, record.changes)
 
 
 async def wait_in_force(
@@ -147,9 +147,9 @@
     clock: Clock,
     *,
     timeout_s: float,
-    progress: Callable[[InForce], None],
-    every_s: float = _WATCH_EVERY_S,
-) -> InForce:
+    report_progress: Callable[[RolloutStatus], None],
+    poll_interval_s: float = _POLL_INTERVAL_S,
+) -> RolloutStatus:
     """Ask every listed instance until all have the configuration, or the time is up.
 
     Parameters
@@ -161,32 +161,34 @@
     """
     deadline_s = clock.monotonic_s() + timeout_s
     while True:
-        seen = await _look(offset, listing, peers)
-        progress(seen)
-        if seen.everywhere or clock.monotonic_s() >= deadline_s:
-            return seen
-        await clock.sleep(every_s)
+        status = await _poll_instances(offset, listing, peers)
+        report_progress(status)
+        if status.is_complete or clock.monotonic_s() >= deadline_s:
+            return status
+        await clock.sleep(poll_interval_s)
 
 
-async def _look(offset: int, listing: InstanceList, peers: GrpcPeers) -> InForce:
+async def _poll_instances(offset: int, listing: InstanceList, peers: GrpcPeers) -> RolloutStatus:
     try:
         listed = [i for i in await listing.read() if i.address and not i.leaving]
     except ListError:
-        return InForce((), (), ("the platform's list",))
-    reached: list[str] = []
+        return RolloutStatus((), (), ("the platform's list",))
+    up_to_date: list[str] = []
     behind: list[str] = []
-    silent: list[str] = []
+    unresponsive: list[str] = []
     operator = Member("operator", "operator", "")
 
     async def ask(name: str, address: str) -> None:
         try:
             answer = await peers.probe(address, operator, timeout_s=1.0)
         except PeerError:
-            silent.append(name)
+            unresponsive.append(name)
             return
-        (reached if answer.config_offset >= offset else behind).append(name)
+        (up_to_date if answer.config_offset >= offset else behind).append(name)
 
     async with anyio.create_task_group() as tasks:
         for instance in listed:
             tasks.start_soon(ask, instance.name, instance.address)
-    return InForce(tuple(sorted(reached)), tuple(sorted(behind)), tuple(sorted(silent)))
+    return RolloutStatus(
+        tuple(sorted(up_to_date)), tuple(sorted(behind)), tuple(sorted(unresponsive))
+    )
--- a/mothstand/operators/release.py
+++ b/mothstand/operators/release.py
@@ -27,11 +27,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Released:
+class ReleaseResult:
     """What came of a release; `tokens` went back to each budget if it was accepted."""
 
     outcome: Outcome
-    tokens: dict[BudgetName, int]
+    returned_tokens: dict[BudgetName, int]
 
 
 def declared_spend(view: LogView, fold: LedgerFold, state: EpochState) -> tuple[SpentTokens, ...]:
@@ -45,10 +45,10 @@
     spent = []
     for budget, grant in sorted(state.grants.items()):
         billed = view.bills.billed.get(budget, BilledTotals()).tokens
-        others = fold.reported_tokens(budget, excluded_epoch=state.epoch)
-        least = grant.min_spent_tokens()
-        most = state.consumed_tokens(budget)
-        tokens = min(max(least, billed - others), max(least, most))
+        other_tokens = fold.reported_tokens(budget, excluded_epoch=state.epoch)
+        min_tokens = grant.min_spent_tokens()
+        max_tokens = state.consumed_tokens(budget)
+        tokens = min(max(min_tokens, billed - other_tokens), max(min_tokens, max_tokens))
         spent.append(SpentTokens(budget, min(tokens, grant.granted_tokens - grant.returned_tokens)))
     return tuple(spent)
 
@@ -59,11 +59,11 @@
     clock: Clock,
     *,
     operator: str,
-    me: Member,
+    local_member: Member,
     shard_count: int,
     shard: Shard,
     epoch: Epoch,
-) -> Released:
+) -> ReleaseResult:
     """Append a release and return what the fold decided about it.
 
     Raises
@@ -78,7 +78,7 @@
     state = None if fold is None else fold.epochs.get(epoch)
     if fold is None or state is None:
         raise SettingsError(f"epoch {epoch} of shard {shard} is unknown; see 'mothstand audit'")
-    await _check_silent(peers, me, state)
+    await _check_unresponsive(peers, local_member, state)
     page = await log.read(BILLS_STREAM, 1, wait_s=0.0)
     if page.first_offset > 1:
         raise SettingsError(
@@ -97,17 +97,17 @@
     await log.append(ledger_stream(shard), encode((record,)))
     after = await read_all(log, shard_count)
     entry = next(e for e in after.ledger_entries if e.record.record_id == record.record_id)
-    return Released(entry.outcome, tokens)
+    return ReleaseResult(entry.outcome, tokens)
 
 
-async def _check_silent(peers: GrpcPeers, me: Member, state: EpochState) -> None:
+async def _check_unresponsive(peers: GrpcPeers, local_member: Member, state: EpochState) -> None:
     """Refuse while a process that has not closed its side answers: it will do so by itself."""
     for member in state.unclosed_members():
         try:
-            found = await peers.probe(member.address, me, timeout_s=_PROBE_TIMEOUT_S)
+            result = await peers.probe(member.address, local_member, timeout_s=_PROBE_TIMEOUT_S)
         except PeerError:
             continue
-        if found.member.incarnation == member.incarnation:
+        if result.member.incarnation == member.incarnation:
             raise SettingsError(
                 f"{member.name} still answers and closes its side by itself;"
                 " release what belongs to processes that have ended for good"
--- a/mothstand/operators/reports.py
+++ b/mothstand/operators/reports.py
@@ -55,10 +55,10 @@
                 state.consumed_tokens(budget) - grant.min_spent_tokens()
                 for budget, grant in state.grants.items()
             )
-            silent = ", ".join(member.name for member in state.unclosed_members())
+            unresponsive = ", ".join(member.name for member in state.unclosed_members())
             yield (
                 f"stranded: shard {shard} epoch {state.epoch} {state.data_centre}"
-                f" up to {held} tokens, silent: {silent}"
+                f" up to {held} tokens, silent: {unresponsive}"
             )
 
 
--- a/mothstand/peers/client.py
+++ b/mothstand/peers/client.py
@@ -42,7 +42,7 @@
     """A heartbeat's answer."""
 
     member: Member
-    leaving: bool
+    is_stopping: bool
     config_offset: int
     data_centre: DataCentre
 
@@ -68,9 +68,9 @@
         self._metadata = {KEY_HEADER: fleet_key}
         self._channels: dict[str, Channel] = {}
 
-    async def probe(self, address: str, me: Member, *, timeout_s: float) -> ProbeResult:
+    async def probe(self, address: str, local_member: Member, *, timeout_s: float) -> ProbeResult:
         """Send a heartbeat and return the peer's identity."""
-        request = pb.ProbeRequest(**{"from": identity_to_pb(me)})
+        request = pb.ProbeRequest(**{"from": identity_to_pb(local_member)})
         answer = await self._call(
             self._stub(address).Probe(request, timeout=timeout_s, metadata=self._metadata)
         )
@@ -115,7 +115,9 @@
         )
         return bool(answer.known)
 
-    async def posted(self, address: str, tickets: tuple[Ticket, ...], *, timeout_s: float) -> None:
+    async def report_posted(
+        self, address: str, tickets: tuple[Ticket, ...], *, timeout_s: float
+    ) -> None:
         """Say that the bills of these reservations are in the log."""
         request = pb.PostedRequest(tickets=[ticket_to_pb(ticket) for ticket in tickets])
         await self._call(
--- a/mothstand/peers/messages.py
+++ b/mothstand/peers/messages.py
@@ -32,7 +32,7 @@
         number=ticket.number,
         holder=ticket.holder,
         witness=ticket.witness,
-        home=ticket.home,
+        home=ticket.key_holder,
     )
 
 
@@ -44,7 +44,7 @@
         number=message.number,
         holder=message.holder,
         witness=message.witness,
-        home=message.home,
+        key_holder=message.home,
     )
 
 
@@ -56,8 +56,8 @@
         budget=call.budget,
         bound_tokens=call.bound_tokens,
         owner=call.owner,
-        keyed=call.keyed,
-        away=call.away,
+        keyed=call.is_keyed,
+        away=call.is_from_remote,
     )
 
 
@@ -69,8 +69,8 @@
         budget=BudgetName(message.budget),
         bound_tokens=message.bound_tokens,
         owner=message.owner,
-        keyed=message.keyed,
-        away=message.away,
+        is_keyed=message.keyed,
+        is_from_remote=message.away,
     )
 
 
@@ -83,7 +83,7 @@
             return pb.ReserveAnswer(refused_kind=reply.kind.value, detail=reply.detail)
         case NotHolder():
             return pb.ReserveAnswer(not_holder_hint=reply.hint)
-        case KnownKey(owner=owner, finished=True):
+        case KnownKey(owner=owner, is_finished=True):
             return pb.ReserveAnswer(finished_at=owner)
         case KnownKey(owner=owner):
             return pb.ReserveAnswer(running_at=owner)
@@ -97,9 +97,9 @@
         case "refused_kind":
             return Refusal(ErrorKind(message.refused_kind), message.detail)
         case "finished_at":
-            return KnownKey(message.finished_at, finished=True)
+            return KnownKey(message.finished_at, is_finished=True)
         case "running_at":
-            return KnownKey(message.running_at, finished=False)
+            return KnownKey(message.running_at, is_finished=False)
         case _:
             return NotHolder(message.not_holder_hint)
 
--- a/mothstand/peers/server.py
+++ b/mothstand/peers/server.py
@@ -70,7 +70,7 @@
     ) -> None:
         """Reserve tokens if this instance leads the shard."""
         request = await _receive(stream)
-        reply = await self._ledger.reserve_here(call_from_pb(request))
+        reply = await self._ledger.reserve_local(call_from_pb(request))
         await stream.send_message(reply_to_pb(reply))
 
     async def Settle(  # noqa: N802
@@ -78,7 +78,7 @@
     ) -> None:
         """Settle a reservation."""
         request = await _receive(stream)
-        known = self._ledger.settle_here(
+        known = self._ledger.settle_local(
             ticket_from_pb(request.ticket), request.used_tokens, request.request_id
         )
         await stream.send_message(pb.SettleAnswer(known=known))
@@ -89,7 +89,7 @@
         """Note that bills are in the log."""
         request = await _receive(stream)
         for ticket in request.tickets:
-            self._ledger.posted_here(ticket_from_pb(ticket))
+            self._ledger.note_posted_local(ticket_from_pb(ticket))
         await stream.send_message(pb.PostedAnswer())
 
     async def Mirror(self, stream: Stream[pb.MirrorRequest, pb.MirrorReply]) -> None:  # noqa: N802
@@ -98,7 +98,7 @@
         if request.witness_incarnation != self._membership.local_member.incarnation:
             await stream.send_message(pb.MirrorReply(taken=False))
             return
-        answer = self._ledger.mirror_here(Shard(request.shard), batch_from_pb(request))
+        answer = self._ledger.mirror_local(Shard(request.shard), batch_from_pb(request))
         if answer is None:
             await stream.send_message(pb.MirrorReply(taken=False))
             return
@@ -122,11 +122,11 @@
 def make_server(service: PeerService, secrets: SecretsSection) -> Server:
     """Return a server that refuses calls without the fleet's key."""
     server = Server([service])
-    accepted = [key for key in (secrets.fleet_key, secrets.previous_fleet_key) if key]
+    accepted_keys = [key for key in (secrets.fleet_key, secrets.previous_fleet_key) if key]
 
     async def check_key(event: RecvRequest) -> None:
         sent = str(event.metadata.get(KEY_HEADER, ""))
-        if not any(hmac.compare_digest(sent.encode(), key.encode()) for key in accepted):
+        if not any(hmac.compare_digest(sent.encode(), key.encode()) for key in accepted_keys):
             raise GRPCError(Status.UNAUTHENTICATED, "no fleet key")
 
     listen(server, RecvRequest, check_key)
--- a/mothstand/standins/engine.py
+++ b/mothstand/standins/engine.py
@@ -74,18 +74,18 @@
     return [f"w{(seed + 7919 * position) % 10007} " for position in range(count)]
 
 
-def _prompt(value: dict[str, Any]) -> str:
-    messages = value["messages"][:-1] if _continues(value) else value["messages"]
+def _prompt_text(value: dict[str, Any]) -> str:
+    messages = value["messages"][:-1] if _is_continuation(value) else value["messages"]
     return "\n".join(str(message.get("content", "")) for message in messages)
 
 
-def _continues(value: dict[str, Any]) -> bool:
+def _is_continuation(value: dict[str, Any]) -> bool:
     return bool(value.get("continue_final_message"))
 
 
-def _tokens_made(value: dict[str, Any]) -> int:
+def _continued_token_count(value: dict[str, Any]) -> int:
     """Return how many tokens of the answer the caller has already."""
-    return len(value["messages"][-1]["content"].split()) if _continues(value) else 0
+    return len(value["messages"][-1]["content"].split()) if _is_continuation(value) else 0
 
 
 class _Slots:
@@ -97,7 +97,7 @@
         self._numbers = itertools.count()
 
     @asynccontextmanager
-    async def taken(self, priority: int) -> AsyncIterator[None]:
+    async def acquire(self, priority: int) -> AsyncIterator[None]:
         """Hold a slot, after a wait for one."""
         waiter = (priority, next(self._numbers), anyio.Event())
         heapq.heappush(self._waiting, waiter)
@@ -150,9 +150,9 @@
         self._prefixes: OrderedDict[str, None] = OrderedDict()
         self._journal: list[JournalEntry] = []
         self._faults = EngineFaults()
-        self._answers = 0
+        self._answer_count = 0
         self._slot_count = slots
-        self._load = 0
+        self._in_flight = 0
 
     async def complete(self, scope: Scope, receive: Receive, send: Send) -> None:
         """Serve a chat completion."""
@@ -161,12 +161,12 @@
         if self._faults.mode == "refuse":
             await JSONResponse({"error": "full"}, status_code=503)(scope, receive, send)
             return
-        if not self._setup.serves(value.get("model")):
+        if not self._setup.can_serve(value.get("model")):
             await JSONResponse({"error": "not loaded"}, status_code=404)(scope, receive, send)
             return
-        made = _tokens_made(value)
-        prompt = _prompt(value)
-        prompt_tokens = len(prompt.split()) + made
+        continued_tokens = _continued_token_count(value)
+        prompt = _prompt_text(value)
+        prompt_tokens = len(prompt.split()) + continued_tokens
         entry = JournalEntry(
             request.headers.get("x-request-id", ""),
             prompt,
@@ -178,14 +178,14 @@
             entry.state = "crashed"
             await Response(status_code=500)(scope, receive, send)
             return
-        most = made + int(value.get("max_tokens", 16))
-        wanted = int(value.get("tokens_wanted", 16 + zlib.crc32(prompt.encode()) % 48))
-        tokens = answer_tokens(prompt, min(most, wanted))[made:]
-        self._load += 1
+        max_tokens = continued_tokens + int(value.get("max_tokens", 16))
+        wanted_tokens = int(value.get("tokens_wanted", 16 + zlib.crc32(prompt.encode()) % 48))
+        tokens = answer_tokens(prompt, min(max_tokens, wanted_tokens))[continued_tokens:]
+        self._in_flight += 1
         try:
             await self._run(value, tokens, entry, receive, send)
         finally:
-            self._load -= 1
+            self._in_flight -= 1
         if entry.state == "running":
             entry.state = "cancelled"
 
@@ -206,12 +206,12 @@
                 tasks.cancel_scope.cancel()
 
             tasks.start_soon(watch)
-            async with self._slots.taken(entry.priority):
+            async with self._slots.acquire(entry.priority):
                 await self._prefill(entry.prompt, entry)
                 if value.get("stream"):
-                    await self._stream(value, tokens, entry, send)
+                    await self._send_stream(value, tokens, entry, send)
                 else:
-                    await self._whole(value, tokens, entry, send)
+                    await self._send_complete(value, tokens, entry, send)
             tasks.cancel_scope.cancel()
 
     async def journal(self, _: Request) -> Response:
@@ -229,7 +229,7 @@
             routes=[
                 Route("/journal", self.journal, methods=["GET"]),
                 Route("/faults", self.set_faults, methods=["POST"]),
-                Route("/v1/setup", self._setup.look, methods=["GET"]),
+                Route("/v1/setup", self._setup.get_setup, methods=["GET"]),
                 Route("/v1/setup", self._setup.order, methods=["POST"]),
                 Route("/orders", self._setup.journal, methods=["GET"]),
             ]
@@ -247,14 +247,14 @@
         if not entry.cached and self._prefill_s:
             await anyio.sleep(self._prefill_s)
 
-    async def _whole(
+    async def _send_complete(
         self, value: dict[str, Any], tokens: list[str], entry: JournalEntry, send: Send
     ) -> None:
         if self._token_delay_s:
             await anyio.sleep(self._token_delay_s * len(tokens))
         entry.completion_tokens = len(tokens)
         entry.state = "finished"
-        body: dict[str, Any] = self._head(value, "chat.completion")
+        body: dict[str, Any] = self._response_head(value, "chat.completion")
         message = {"role": "assistant", "content": "".join(tokens)}
         body["choices"] = [{"index": 0, "message": message, "finish_reason": "stop"}]
         if self._faults.mode != "silent_usage":
@@ -264,12 +264,12 @@
         await send({"type": "http.response.start", "status": 200, "headers": headers})
         await send({"type": "http.response.body", "body": response.body})
 
-    async def _stream(
+    async def _send_stream(
         self, value: dict[str, Any], tokens: list[str], entry: JournalEntry, send: Send
     ) -> None:
         headers = [(b"content-type", b"text/event-stream"), self._load_header()]
         await send({"type": "http.response.start", "status": 200, "headers": headers})
-        head = self._head(value, "chat.completion.chunk")
+        head = self._response_head(value, "chat.completion.chunk")
         delay_s = self._faults.token_delay_s
         delay_s = self._token_delay_s if delay_s is None else delay_s
         for start in range(0, len(tokens), self._chunk_tokens):
@@ -299,16 +299,16 @@
         data = b"data: " + json.dumps(event).encode() + b"\n\n"
         await send({"type": "http.response.body", "body": data, "more_body": True})
 
-    def _head(self, value: dict[str, Any], kind: str) -> dict[str, Any]:
-        self._answers += 1
-        answer_id = f"chatcmpl-{self._name}-{self._answers}"
+    def _response_head(self, value: dict[str, Any], kind: str) -> dict[str, Any]:
+        self._answer_count += 1
+        answer_id = f"chatcmpl-{self._name}-{self._answer_count}"
         return {"id": answer_id, "object": kind, "created": 0, "model": value["model"]}
 
     def _load_header(self) -> tuple[bytes, bytes]:
-        running = min(self._load, self._slot_count)
+        running = min(self._in_flight, self._slot_count)
         named = {
             "num_requests_running": running,
-            "num_requests_waiting": self._load - running,
+            "num_requests_waiting": self._in_flight - running,
         }
         text = f"{LOAD_FORMAT} {json.dumps({'named_metrics': named})}"
         return LOAD_HEADER.encode(), text.encode()
--- a/mothstand/standins/engine_setup.py
+++ b/mothstand/standins/engine_setup.py
@@ -35,30 +35,30 @@
         Seconds that an order takes.
     """
 
-    def __init__(self, orders: str, load_s: float) -> None:
-        self._orders = orders
+    def __init__(self, order_mode: str, load_s: float) -> None:
+        self._order_mode = order_mode
         self._load_s = load_s
         self._setup = _SetupBody()
         self._fencing = 0
         self._loading = 0
         self._journal: list[dict[str, object]] = []
 
-    def serves(self, model: object) -> bool:
+    def can_serve(self, model: object) -> bool:
         """Return whether the model is loaded."""
-        return self._orders == "none" or any(m["name"] == model for m in self._setup.models)
+        return self._order_mode == "none" or any(m["name"] == model for m in self._setup.models)
 
-    async def look(self, _: Request) -> Response:
+    async def get_setup(self, _: Request) -> Response:
         """Return what is loaded."""
         report = self._setup.model_dump()
-        report["fencing"] = self._fencing if self._orders == "fenced" else 0
+        report["fencing"] = self._fencing if self._order_mode == "fenced" else 0
         return JSONResponse({**report, "loading": self._loading > 0})
 
     async def order(self, request: Request) -> Response:
         """Load what is ordered."""
         order = _SetupBody.model_validate_json(await request.body())
-        stale = self._orders == "fenced" and order.fencing < self._fencing
-        self._journal.append({**order.model_dump(), "stale": stale})
-        if stale:
+        is_stale = self._order_mode == "fenced" and order.fencing < self._fencing
+        self._journal.append({**order.model_dump(), "stale": is_stale})
+        if is_stale:
             return JSONResponse({"fencing": self._fencing}, status_code=409)
         self._fencing = order.fencing
         self._loading += 1
--- a/mothstand/standins/platform.py
+++ b/mothstand/standins/platform.py
@@ -30,7 +30,7 @@
     from starlette.requests import Request
 
 _NO_ANSWER = 599
-_MOST_RECORDS_PER_PAGE = 1000
+_MAX_RECORDS_PER_PAGE = 1000
 
 
 class Faults(BaseModel):
@@ -40,7 +40,7 @@
     callers: list[str] = Field(default_factory=list)
     delay_s: float = 0.0
 
-    def of(self, caller: str) -> str:
+    def mode_for(self, caller: str) -> str:
         """Return the mode for a caller."""
         return self.mode if not self.callers or caller in self.callers else "ok"
 
@@ -58,15 +58,15 @@
 
     records: dict[int, str] = field(default_factory=dict)
     next_offset: int = 1
-    grown: anyio.Event = field(default_factory=anyio.Event)
+    appended: anyio.Event = field(default_factory=anyio.Event)
 
     def append(self, text: str) -> int:
         """Append a record and return its offset."""
         offset = self.next_offset
         self.records[offset] = text
         self.next_offset += 1
-        self.grown.set()
-        self.grown = anyio.Event()
+        self.appended.set()
+        self.appended = anyio.Event()
         return offset
 
 
@@ -84,7 +84,7 @@
         """Serve an append."""
         name = request.path_params["name"]
         text = (await request.body()).decode()
-        mode = await self._fail(request)
+        mode = await self._apply_faults(request)
         if mode == "down":
             return Response(status_code=_NO_ANSWER)
         offset = self._stream(name).append(text)
@@ -99,18 +99,18 @@
         start = int(request.query_params["from"])
         with anyio.move_on_after(float(request.query_params["wait_s"])):
             while stream.next_offset <= start:
-                await stream.grown.wait()
-        if await self._fail(request) == "down":
+                await stream.appended.wait()
+        if await self._apply_faults(request) == "down":
             return Response(status_code=_NO_ANSWER)
         first = next(iter(stream.records), stream.next_offset)
-        offsets = range(max(start, first), stream.next_offset)[:_MOST_RECORDS_PER_PAGE]
+        offsets = range(max(start, first), stream.next_offset)[:_MAX_RECORDS_PER_PAGE]
         records = [(offset, stream.records[offset]) for offset in offsets]
         next_offset = offsets[-1] + 1 if records else max(start, first)
         return JSONResponse({"records": records, "first": first, "next": next_offset})
 
     async def list_instances(self, request: Request) -> Response:
         """Serve the instance list."""
-        if await self._fail(request) == "down":
+        if await self._apply_faults(request) == "down":
             return Response(status_code=_NO_ANSWER)
         tag = f'"{self._instances_version}"'
         if request.headers.get("if-none-match") == tag:
@@ -157,8 +157,8 @@
     def _stream(self, name: str) -> Stream:
         return self.streams.setdefault(name, Stream())
 
-    async def _fail(self, request: Request) -> str:
-        mode = self.faults.of(request.headers.get("x-caller", ""))
+    async def _apply_faults(self, request: Request) -> str:
+        mode = self.faults.mode_for(request.headers.get("x-caller", ""))
         if mode == "slow":
             await anyio.sleep(self.faults.delay_s)
         return mode
--- a/mothstand/standins/users_engine.py
+++ b/mothstand/standins/users_engine.py
@@ -29,7 +29,7 @@
     from starlette.requests import Request
 
 _MISDIRECTED = 421
-_EVENTS = 5
+_EVENT_COUNT = 5
 
 
 #: Seconds from the start of a run to the crash that it causes.
@@ -65,12 +65,12 @@
     """
 
     def __init__(
-        self, upstream_id: str, event_s: float, crash_body: str, arrivals: Path | None
+        self, upstream_id: str, event_interval_s: float, crash_body: str, arrivals_path: Path | None
     ) -> None:
         self._upstream_id = upstream_id
-        self._event_s = event_s
+        self._event_interval_s = event_interval_s
         self._crash_body = crash_body
-        self._arrivals = arrivals
+        self._arrivals_path = arrivals_path
         self._journal: list[dict[str, str]] = []
 
     async def run(self, request: Request) -> Response:
@@ -79,17 +79,17 @@
             return Response(status_code=_MISDIRECTED)
         request_id = request.headers["X-Request-Id"]
         body = (await request.body()).decode()
-        self._tell(request_id, body)
+        self._record_arrival(request_id, body)
         self._journal.append(dict(request.headers))
         first = int(request.headers.get("Last-Event-Id") or 0) + 1
 
         async def events() -> AsyncIterator[bytes]:
             if body and body == self._crash_body:
                 await anyio.sleep(_CRASH_AFTER_S)
-                self._tell(request_id, body, is_crash=True)
+                self._record_arrival(request_id, body, is_crash=True)
                 os._exit(1)
-            for number in range(first, _EVENTS + 1):
-                await anyio.sleep(self._event_s)
+            for number in range(first, _EVENT_COUNT + 1):
+                await anyio.sleep(self._event_interval_s)
                 yield b"id: %d\ndata: word\n\n" % number
 
         headers = {
@@ -98,11 +98,11 @@
         }
         return StreamingResponse(events(), media_type="text/event-stream", headers=headers)
 
-    def _tell(self, request_id: str, body: str, *, is_crash: bool = False) -> None:
-        if self._arrivals is None:
+    def _record_arrival(self, request_id: str, body: str, *, is_crash: bool = False) -> None:
+        if self._arrivals_path is None:
             return
         arrival = Arrival(time.monotonic(), self._upstream_id, request_id, body, is_crash)
-        with self._arrivals.open("a", encoding="utf-8") as lines:
+        with self._arrivals_path.open("a", encoding="utf-8") as lines:
             lines.write(json.dumps(asdict(arrival)) + "\n")
 
     async def journal(self, _: Request) -> Response:
--- a/mothstand/standins/users_store.py
+++ b/mothstand/standins/users_store.py
@@ -27,10 +27,10 @@
 
 _POLL_S = 0.02
 _CONFLICT = 412
-_AWAY = 503
+_UNAVAILABLE = 503
 
 
-def _stream(request: Request) -> Stream:
+def _requested_stream(request: Request) -> Stream:
     return Stream(request.query_params["topic"], int(request.query_params.get("part", 0)))
 
 
@@ -39,40 +39,40 @@
 
     def __init__(self) -> None:
         self._store = MemoryStore()
-        self._away = False
+        self._is_unreachable = False
 
     async def append(self, request: Request) -> Response:
         """Append records, under a condition if there is one."""
-        if self._away:
-            return Response(status_code=_AWAY)
-        stream = _stream(request)
+        if self._is_unreachable:
+            return Response(status_code=_UNAVAILABLE)
+        stream = _requested_stream(request)
         # Appended records have the form of a page's, which has a head before them.
         page = decode_page(struct.pack(">QQ", 0, 0) + await request.body(), 0)
         at_offset = request.query_params.get("at")
         condition = None if at_offset is None else int(at_offset)
-        done = self._store.append(stream, page.records, condition)
+        is_appended = self._store.append(stream, page.records, condition)
         end = self._store.read(stream, 0).next_offset
-        if not done:
+        if not is_appended:
             return JSONResponse({"end": end}, status_code=_CONFLICT)
         return JSONResponse({"offset": end - len(page.records), "end": end})
 
     async def read(self, request: Request) -> Response:
         """Return records, waiting for the first one."""
-        stream, from_offset = _stream(request), int(request.query_params["from"])
+        stream, from_offset = _requested_stream(request), int(request.query_params["from"])
         with anyio.move_on_after(int(request.query_params.get("wait_ms", 0)) / 1000):
-            while not self._store.read(stream, from_offset).records and not self._away:
+            while not self._store.read(stream, from_offset).records and not self._is_unreachable:
                 await anyio.sleep(_POLL_S)
-        if self._away:
-            return Response(status_code=_AWAY)
+        if self._is_unreachable:
+            return Response(status_code=_UNAVAILABLE)
         page = self._store.read(stream, from_offset)
         head = struct.pack(">QQ", page.next_offset, 0)
         return Response(head + b"".join(encode_record(record) for record in page.records))
 
     async def newest(self, request: Request) -> Response:
         """Return the newest record of each key."""
-        if self._away:
-            return Response(status_code=_AWAY)
-        page = self._store.newest(_stream(request))
+        if self._is_unreachable:
+            return Response(status_code=_UNAVAILABLE)
+        page = self._store.newest(_requested_stream(request))
         items = [
             {"key": r.key, "value": base64.b64encode(r.value or b"").decode(), "offset": r.offset}
             for r in page.records
@@ -81,12 +81,14 @@
 
     async def put(self, request: Request) -> Response:
         """Write one record; an empty body drops the key."""
-        self._store.put(_stream(request), request.query_params["key"], await request.body() or None)
+        self._store.put(
+            _requested_stream(request), request.query_params["key"], await request.body() or None
+        )
         return JSONResponse({})
 
-    async def set_away(self, request: Request) -> Response:
+    async def set_unreachable(self, request: Request) -> Response:
         """Go away, or come back."""
-        self._away = request.query_params["on"] == "1"
+        self._is_unreachable = request.query_params["on"] == "1"
         return JSONResponse({})
 
 
@@ -98,7 +100,7 @@
         Route("/log-read", store.read, methods=["GET"]),
         Route("/log-newest", store.newest, methods=["GET"]),
         Route("/put", store.put, methods=["POST"]),
-        Route("/away", store.set_away, methods=["POST"]),
+        Route("/away", store.set_unreachable, methods=["POST"]),
     ]
     run_app(Starlette(routes=routes), address)
 
--- a/mothstand/testing/budget_fleet.py
+++ b/mothstand/testing/budget_fleet.py
@@ -32,7 +32,7 @@
     StoreSection,
 )
 from ..types import BudgetName, DataCentre
-from .fakes import RETRIES, SilentPeers
+from .fakes import RETRIES, UnreachablePeers
 from .memory_store import MemoryStore, StoreLink
 from .virtual_time import VirtualClock
 
@@ -83,7 +83,7 @@
         return page
 
 
-class _LocalLink(SilentPeers):
+class _InProcessPeers(UnreachablePeers):
     """Calls to other instances of the same process."""
 
     def __init__(self, fleet: BudgetFleet) -> None:
@@ -101,15 +101,15 @@
 
     async def hand_over(self, address: str, handover: Handover) -> None:
         """Leave tokens to another instance."""
-        await self._reach(address)
+        await self._call(address)
         self._fleet.instances[address].accounts.take_over(handover)
 
     async def registrations_gapless_s(self, address: str) -> float:
         """Return 0 for one that lives: nobody reads registrations."""
-        await self._reach(address)
+        await self._call(address)
         return 0.0
 
-    async def _reach(self, address: str) -> None:
+    async def _call(self, address: str) -> None:
         await anyio.sleep(PEER_CALL_S)
         if address in self._fleet.dead:
             raise PeerError(f"{address}: refused")
@@ -168,8 +168,8 @@
     instances: dict[str, BudgetInstance] = field(default_factory=dict)
     dead: set[str] = field(default_factory=set)
     spent_tokens: int = 0
-    sure_tokens: int = 0
-    is_cut: bool = False
+    confirmed_tokens: int = 0
+    is_cut_off: bool = False
     _tasks: TaskGroup | None = None
     _starts: int = 0
     _store: MemoryStore = field(default_factory=MemoryStore)
@@ -206,7 +206,7 @@
             tasks.cancel_scope.cancel()
 
     async def restart(
-        self, address: str, *, down_s: float, gives_back: bool = False, drains_s: float = 0.0
+        self, address: str, *, down_s: float, is_graceful: bool = False, drain_s: float = 0.0
     ) -> None:
         """End an instance's process, and start another one in its place after a while.
 
@@ -217,24 +217,24 @@
         drains_s
             How long before that it takes no more requests.
         """
-        ended = self.instances[address]
+        old_instance = self.instances[address]
         self.dead.add(address)
-        if drains_s:
-            ended.accounts.begin_stopping()
-            await anyio.sleep(drains_s)
-        if gives_back:
-            await ended.accounts.stop(until_s=anyio.current_time() + _STOP_S)
-        ended.kill()
+        if drain_s:
+            old_instance.accounts.begin_stopping()
+            await anyio.sleep(drain_s)
+        if is_graceful:
+            await old_instance.accounts.stop(until_s=anyio.current_time() + _STOP_S)
+        old_instance.kill()
         await anyio.sleep(down_s)
-        me = ended.members.fleet.local_member
-        self._start(me.peer.instance, me.data_centre)
+        local_member = old_instance.members.fleet.local_member
+        self._start(local_member.peer.instance, local_member.data_centre)
         self.dead.discard(address)
 
-    def cut_off_from_store(self, cut: bool) -> None:
+    def set_cut_off_from_store(self, is_cut_off: bool) -> None:
         """Let no instance reach the store, or let all."""
-        self.is_cut = cut
+        self.is_cut_off = is_cut_off
         for link in self._links:
-            link.is_cut = cut
+            link.is_cut_off = is_cut_off
 
     @property
     def served_share(self) -> float:
@@ -260,32 +260,38 @@
         used = int(tokens * self.used_share)
         # What runs when its process dies is consumed all the same.
         self.spent_tokens += used
-        self.sure_tokens += used if is_answered else 0
+        self.confirmed_tokens += used if is_answered else 0
         await anyio.sleep(0.4)
         accounts.settle(reserved, Usage(used, used if is_answered else 0))
 
     def _start(self, name: str, data_centre: DataCentre) -> None:
         assert self._tasks is not None, "start before run()"
-        self._tasks.start_soon(self._make(name, data_centre).run)
+        self._tasks.start_soon(self._make_instance(name, data_centre).run)
 
-    def _make(self, name: str, data_centre: DataCentre) -> BudgetInstance:
+    def _make_instance(self, name: str, data_centre: DataCentre) -> BudgetInstance:
         self._starts += 1
         address = f"{name}:1"
         clock = VirtualClock()
         health = PlatformHealth(clock)
         link = _SlowStoreLink(self._store, self)
-        link.is_cut = self.is_cut
+        link.is_cut_off = self.is_cut_off
         self._links.append(link)
-        me = Peer(name, f"{name}-{self._starts}", address)
+        local_peer = Peer(name, f"{name}-{self._starts}", address)
         members = MemberFeed(
-            link, Member(me, data_centre), clock, health, lambda: None, RETRIES, started_s=0.0
+            link,
+            Member(local_peer, data_centre),
+            clock,
+            health,
+            lambda: None,
+            RETRIES,
+            started_s=0.0,
         )
         members.fleet = FleetView(members.fleet.local_member, self.claimants)
         accounts = Accounts(
             _settings(name, data_centre),
-            me,
+            local_peer,
             link,
-            _LocalLink(self),
+            _InProcessPeers(self),
             clock,
             health,
             lambda: {_BUDGET: self.prepaid_tokens},
@@ -296,11 +302,16 @@
 
 
 def _settings(name: str, data_centre: DataCentre) -> GatewaySettings:
-    nowhere = "127.0.0.1:1"
+    unused_address = "127.0.0.1:1"
     return GatewaySettings(
         instance=GatewayInstanceSection.model_validate({"name": name, "data_centre": data_centre}),
-        listen=GatewayListenSection(callers=nowhere, ready=nowhere, peers=nowhere, metrics=nowhere),
-        store=StoreSection.model_validate({"address": nowhere}),
+        listen=GatewayListenSection(
+            callers=unused_address,
+            ready=unused_address,
+            peers=unused_address,
+            metrics=unused_address,
+        ),
+        store=StoreSection.model_validate({"address": unused_address}),
         seeds=SeedsSection.model_validate({}),
         retries=RetriesSection.model_validate({}),
         timing=GatewayTimingSection.model_validate({}),
--- a/mothstand/testing/checker.py
+++ b/mothstand/testing/checker.py
@@ -55,7 +55,7 @@
         *_overspent(history),
         *_billed_twice(history),
         *_billed_wrongly(history),
-        *_untrue_refusals(history),
+        *_false_refusals(history),
         *_wrong_answers(history),
     ]
 
@@ -76,7 +76,7 @@
     billed = {line.request_id: line.tokens for line in history.bill_lines}
     found = []
     for call in history.calls:
-        if call.outcome is not CallOutcome.WHOLE:
+        if call.outcome is not CallOutcome.COMPLETE:
             continue
         tokens = billed.get(call.request_id)
         if tokens is None:
@@ -88,7 +88,7 @@
     return found
 
 
-def _untrue_refusals(history: RunHistory) -> list[str]:
+def _false_refusals(history: RunHistory) -> list[str]:
     seen = {line.prompt for line in history.journal}
     return [
         f"{call.prompt!r} was refused as not run and ran"
@@ -102,9 +102,9 @@
 def _wrong_answers(history: RunHistory) -> list[str]:
     found = []
     for call in history.calls:
-        right = "".join(answer_tokens(call.prompt, call.max_tokens))
-        if call.outcome is CallOutcome.WHOLE and call.text != right:
-            found.append(f"{call.prompt!r} got {call.text!r}, not {right!r}")
-        if call.outcome is CallOutcome.BROKEN and not right.startswith(call.text):
+        expected = "".join(answer_tokens(call.prompt, call.max_tokens))
+        if call.outcome is CallOutcome.COMPLETE and call.text != expected:
+            found.append(f"{call.prompt!r} got {call.text!r}, not {expected!r}")
+        if call.outcome is CallOutcome.BROKEN and not expected.startswith(call.text):
             found.append(f"{call.prompt!r} got another's beginning, {call.text!r}")
     return found
--- a/mothstand/testing/claim_histories.py
+++ b/mothstand/testing/claim_histories.py
@@ -32,7 +32,7 @@
 from ..gateway.store import StoreError
 from ..log.health import PlatformHealth
 from ..types import BudgetName, Shard
-from .memory_store import MemoryStore, StoreLink, random_fate
+from .memory_store import MemoryStore, StoreLink, random_outcomes
 
 if TYPE_CHECKING:
     import random
@@ -40,23 +40,23 @@
 _START = datetime(2026, 1, 1, tzinfo=UTC)
 _BUDGETS = (BudgetName("large"), BudgetName("small"))
 _MACHINES = 5
-_MOST_REQUEST_TOKENS = 60
+_MAX_REQUEST_TOKENS = 60
 
 #: Machines whose time of day may jump in one history; two others and the own one must agree.
-_JUMPING = 1
+_JUMPING_MACHINES = 1
 
 
 class InjectedFault(Enum):
     """Faults planted on purpose, which the histories must find."""
 
     NONE = "none"
-    LAST_READ_CLAIM = "a doubtful append does not bind"
-    NO_PROOF = "a successor takes back all that the dead did not say to have spent"
-    LOAN_TWICE = "a borrower counts a loan for each of its answers"
-    NO_CONDITION = "the store appends whatever the stream's end is"
-    NEVER_LOCKED = "claims may be spent past their windows at once"
-    WIDE_OPEN = "windows may be spent at once"
-    HANDOVER_AGAIN = "a handover is sent again to a later start, which adds it once more"
+    FORGETS_UNCONFIRMED_APPENDS = "a doubtful append does not bind"
+    RECLAIMS_WITHOUT_PROOF = "a successor takes back all that the dead did not say to have spent"
+    COUNTS_LOAN_TWICE = "a borrower counts a loan for each of its answers"
+    IGNORES_APPEND_CONDITION = "the store appends whatever the stream's end is"
+    CLAIMS_NEVER_LOCKED = "claims may be spent past their windows at once"
+    WINDOWS_FULLY_OPEN = "windows may be spent at once"
+    REPEATS_HANDOVER = "a handover is sent again to a later start, which adds it once more"
 
 
 class OverspentError(AssertionError):
@@ -91,12 +91,12 @@
         """Return at once: a history moves time on by its own steps."""
 
 
-def _require(holds: bool, otherwise: str) -> None:
+def _require_invariant(holds: bool, message: str) -> None:
     if not holds:
-        raise OverspentError(otherwise)
+        raise OverspentError(message)
 
 
-class _DoubtlessBook(LocalClaims):
+class _ForgetfulClaims(LocalClaims):
     """The planted fault that forgets appends without an answer."""
 
     def _update_limits(self) -> None:
@@ -104,7 +104,7 @@
         super()._update_limits()
 
 
-class _CredulousLog(RenewalLog):
+class _GaplessRenewalLog(RenewalLog):
     """The planted fault that takes every death for a proven one."""
 
     def max_gap_s(self, *_: object) -> float:
@@ -119,13 +119,13 @@
     machine: _Machine
     clock: Clock
     link: StoreLink
-    keeper: ClaimManager
-    loans: LoanLog
-    running: list[Reservation] = field(default_factory=list)
+    claim_manager: ClaimManager
+    loan_log: LoanLog
+    reservations: list[Reservation] = field(default_factory=list)
 
 
 @dataclass(slots=True)
-class _LostLoan:
+class _UnansweredLoan:
     """A loan whose answer the borrower has not got yet."""
 
     lender: _Process
@@ -148,24 +148,26 @@
     def __init__(
         self,
         rng: random.Random,
-        plant: InjectedFault = InjectedFault.NONE,
+        fault: InjectedFault = InjectedFault.NONE,
         *,
-        hands_over: bool = False,
+        has_handovers: bool = False,
     ) -> None:
-        self._hands_over = hands_over
+        self._has_handovers = has_handovers
         self.now_s = 1000.0
         self.counts: Counter[str] = Counter()
         self._rng = rng
-        self._plant = plant
-        self._store = MemoryStore(conditional=plant is not InjectedFault.NO_CONDITION)
+        self._fault = fault
+        self._store = MemoryStore(
+            is_conditional=fault is not InjectedFault.IGNORES_APPEND_CONDITION
+        )
         self._paid = {budget: rng.randrange(400, 3000) for budget in _BUDGETS}
-        self._ended: dict[tuple[BudgetName, Holder], HeldBudget] = {}
+        self._ended_holdings: dict[tuple[BudgetName, Holder], HeldBudget] = {}
         self._claims: dict[tuple[BudgetName, Holder], Claim] = {}
         self._read_offset = 0
-        self._lost_loans: list[_LostLoan] = []
+        self._unanswered_loans: list[_UnansweredLoan] = []
         self._starts = 0
         machines = [_Machine(f"m{i}", rng.uniform(0, 1e5)) for i in range(_MACHINES)]
-        self._jumpers = machines[:_JUMPING]
+        self._jumping_machines = machines[:_JUMPING_MACHINES]
         self._processes = [self._start(machine) for machine in machines]
 
     async def run(self, steps: int) -> None:
@@ -179,20 +181,20 @@
         actions = [
             (30, self._request),
             (20, self._settle),
-            (25, self._look),
+            (25, self._poll),
             (15, self._wait),
             (4, self._lend),
             (3, self._repeat_loan),
-            (2, self._cut),
-            (5, self._heal),
+            (2, self._cut_off),
+            (5, self._reconnect_all),
             (1, self._kill),
             (0.3, self._kill_all),
-            (1, self._late),
-            (1, self._jump),
+            (1, self._deliver_late),
+            (1, self._jump_clock),
             (0.3, self._suspend),
             (0.5, self._top_up),
         ]
-        if self._hands_over:
+        if self._has_handovers:
             actions.append((4, self._hand_over))
         weights = [weight for weight, _ in actions]
         for _ in range(steps):
@@ -206,34 +208,39 @@
 
     def _all_held(self, budget: BudgetName) -> list[tuple[Holder, HeldBudget]]:
         """Return what each process, living or dead, holds of a budget."""
-        ended = [(holder, held) for (b, holder), held in self._ended.items() if b == budget]
+        ended = [
+            (holder, held) for (b, holder), held in self._ended_holdings.items() if b == budget
+        ]
         living = [
-            (p.keeper.claims.holder, p.keeper.claims.held_budget(budget)) for p in self._processes
+            (p.claim_manager.claims.holder, p.claim_manager.claims.held_budget(budget))
+            for p in self._processes
         ]
         return ended + living
 
     def _check(self) -> None:
         self._read_claims()
         for budget, paid in self._paid.items():
-            everyone = self._all_held(budget)
+            holdings = self._all_held(budget)
             claimed = sum(c.claimed_tokens for (b, _), c in self._claims.items() if b == budget)
-            _require(claimed <= paid, f"{budget}: {claimed} claimed of {paid} paid")
-            for holder, held in everyone:
+            _require_invariant(claimed <= paid, f"{budget}: {claimed} claimed of {paid} paid")
+            for holder, held in holdings:
                 claim = self._claims.get((budget, holder))
                 limit = 0 if claim is None else claim.claimed_tokens
                 needed = held.needed_claim_tokens
-                _require(needed <= limit, f"{budget}: {holder} used {needed} of {limit} claimed")
-            given = sum(held.given_tokens for _, held in everyone)
-            received = sum(held.received_tokens for _, held in everyone)
-            _require(received <= given, f"{budget}: {received} borrowed of {given} lent")
+                _require_invariant(
+                    needed <= limit, f"{budget}: {holder} used {needed} of {limit} claimed"
+                )
+            given = sum(held.given_tokens for _, held in holdings)
+            received = sum(held.received_tokens for _, held in holdings)
+            _require_invariant(received <= given, f"{budget}: {received} borrowed of {given} lent")
             consumed = self.consumed_tokens(budget)
-            _require(consumed <= paid, f"{budget}: {consumed} consumed of {paid} paid")
+            _require_invariant(consumed <= paid, f"{budget}: {consumed} consumed of {paid} paid")
 
     def _read_claims(self) -> None:
         """Take the claims that were appended since the last check."""
         page = self._store.read(claims_stream(Shard(0)), self._read_offset)
         self._read_offset = page.next_offset
-        living = {process.keeper.claims.holder for process in self._processes}
+        living = {process.claim_manager.claims.holder for process in self._processes}
         for record in page.records:
             decoded = decode(record)
             if isinstance(decoded, Claim):
@@ -244,13 +251,13 @@
 
     def _start(self, machine: _Machine) -> _Process:
         self._starts += 1
-        me = Peer(machine.name, f"start-{self._starts}", f"{machine.name}:1")
+        local_peer = Peer(machine.name, f"start-{self._starts}", f"{machine.name}:1")
         clock = _MachineClock(self, machine)
-        link = StoreLink(self._store, random_fate(self._rng, failing=0.1))
+        link = StoreLink(self._store, random_outcomes(self._rng, failing_share=0.1))
         policy = ClaimPolicy(stale_after_s=8.0, min_demand_share=0.0, slack=0.02, base_share=0.1)
-        keeper = ClaimManager(
+        claim_manager = ClaimManager(
             Shard(0),
-            me,
+            local_peer,
             link,
             clock,
             PlatformHealth(clock),
@@ -260,54 +267,54 @@
             1.0,
             lambda: None,
         )
-        loans = LoanLog()
-        if self._plant is InjectedFault.LAST_READ_CLAIM:
-            keeper.claims = _DoubtlessBook(keeper.claims.holder)
-        if self._plant is InjectedFault.NO_PROOF:
-            keeper.succession.renewals = _CredulousLog()
-        return _Process(machine, clock, link, keeper, loans)
-
-    def _any(self) -> _Process:
+        loan_log = LoanLog()
+        if self._fault is InjectedFault.FORGETS_UNCONFIRMED_APPENDS:
+            claim_manager.claims = _ForgetfulClaims(claim_manager.claims.holder)
+        if self._fault is InjectedFault.RECLAIMS_WITHOUT_PROOF:
+            claim_manager.succession.renewals = _GaplessRenewalLog()
+        return _Process(machine, clock, link, claim_manager, loan_log)
+
+    def _pick_process(self) -> _Process:
         return self._rng.choice(self._processes)
 
     def _update_opening(self, process: _Process) -> None:
-        process.keeper.update_opening()
-        if self._plant is InjectedFault.NEVER_LOCKED:
-            process.keeper.claims.set_opening(Opening(1.0, is_full=True))
-        if self._plant is InjectedFault.WIDE_OPEN:
-            process.keeper.claims.set_opening(
-                replace(process.keeper.claims.opening, window_share=1.0)
+        process.claim_manager.update_opening()
+        if self._fault is InjectedFault.CLAIMS_NEVER_LOCKED:
+            process.claim_manager.claims.set_opening(Opening(1.0, is_full=True))
+        if self._fault is InjectedFault.WINDOWS_FULLY_OPEN:
+            process.claim_manager.claims.set_opening(
+                replace(process.claim_manager.claims.opening, window_share=1.0)
             )
 
     async def _request(self) -> None:
-        process = self._any()
+        process = self._pick_process()
         budget = self._rng.choice(_BUDGETS)
-        tokens = self._rng.randrange(1, _MOST_REQUEST_TOKENS)
-        process.keeper.demand_for(budget).add_request(tokens, 0, process.clock.monotonic_s())
+        tokens = self._rng.randrange(1, _MAX_REQUEST_TOKENS)
+        process.claim_manager.demand_for(budget).add_request(tokens, 0, process.clock.monotonic_s())
         self._update_opening(process)
-        reservation = process.keeper.claims.held_budget(budget).reserve(tokens)
+        reservation = process.claim_manager.claims.held_budget(budget).reserve(tokens)
         if reservation is not None:
-            process.running.append(reservation)
+            process.reservations.append(reservation)
             self.counts["served"] += 1
-            self.counts["unlocked"] += process.keeper.claims.opening.is_full
-            self.counts["opened"] += 0.0 < process.keeper.claims.opening.window_share < 1.0
+            self.counts["unlocked"] += process.claim_manager.claims.opening.is_full
+            self.counts["opened"] += 0.0 < process.claim_manager.claims.opening.window_share < 1.0
 
     async def _settle(self) -> None:
-        process = self._any()
-        if process.running:
-            reservation = process.running.pop(self._rng.randrange(len(process.running)))
+        process = self._pick_process()
+        if process.reservations:
+            reservation = process.reservations.pop(self._rng.randrange(len(process.reservations)))
             used = self._rng.randrange(0, reservation.tokens + 1)
-            sure = self._rng.choice((0, used))
-            process.keeper.claims.held_budget(reservation.budget).settle(
-                reservation, Usage(used, sure)
+            confirmed = self._rng.choice((0, used))
+            process.claim_manager.claims.held_budget(reservation.budget).settle(
+                reservation, Usage(used, confirmed)
             )
 
-    async def _look(self) -> None:
-        await self._look_at(self._any())
+    async def _poll(self) -> None:
+        await self._poll_process(self._pick_process())
 
-    async def _look_at(self, process: _Process) -> None:
+    async def _poll_process(self, process: _Process) -> None:
         try:
-            await process.keeper.poll()
+            await process.claim_manager.poll()
         except StoreError:
             self.counts["silent"] += 1
 
@@ -318,94 +325,96 @@
         lender, borrower = self._rng.sample(self._processes, 2)
         budget = self._rng.choice(_BUDGETS)
         loan_id = f"loan-{self._rng.randrange(10**9)}"
-        loan = _LostLoan(lender, borrower, budget, loan_id, self._rng.randrange(1, 100))
-        given = self._give(loan)
+        loan = _UnansweredLoan(lender, borrower, budget, loan_id, self._rng.randrange(1, 100))
+        given = self._grant_loan(loan)
         if self._rng.random() < 0.3:
-            self._lost_loans.append(loan)
+            self._unanswered_loans.append(loan)
             return
-        borrower.keeper.claims.held_budget(budget).receive(given)
+        borrower.claim_manager.claims.held_budget(budget).receive(given)
         self.counts["lent"] += given > 0
 
-    def _give(self, loan: _LostLoan) -> int:
+    def _grant_loan(self, loan: _UnansweredLoan) -> int:
         self._update_opening(loan.lender)
-        held = loan.lender.keeper.claims.held_budget(loan.budget)
-        return loan.lender.loans.lend(
+        held = loan.lender.claim_manager.claims.held_budget(loan.budget)
+        return loan.lender.loan_log.lend(
             held, loan.loan_id, withheld_tokens=0, needed_tokens=loan.tokens, extra_tokens=0
         )
 
     async def _repeat_loan(self) -> None:
-        if not self._lost_loans:
+        if not self._unanswered_loans:
             return
-        loan = self._lost_loans.pop()
+        loan = self._unanswered_loans.pop()
         if loan.lender in self._processes and loan.borrower in self._processes:
-            given = self._give(loan)
-            loan.borrower.keeper.claims.held_budget(loan.budget).receive(given)
-            if self._plant is InjectedFault.LOAN_TWICE:
-                loan.borrower.keeper.claims.held_budget(loan.budget).receive(given)
+            given = self._grant_loan(loan)
+            loan.borrower.claim_manager.claims.held_budget(loan.budget).receive(given)
+            if self._fault is InjectedFault.COUNTS_LOAN_TWICE:
+                loan.borrower.claim_manager.claims.held_budget(loan.budget).receive(given)
             self.counts["repeated"] += 1
 
     async def _hand_over(self) -> None:
         """Let one leave its tokens to another, once; the call may be lost with them."""
-        giver, taker = self._rng.sample(self._processes, 2)
+        giver, recipient = self._rng.sample(self._processes, 2)
         budget = self._rng.choice(_BUDGETS)
         self._update_opening(giver)
-        tokens = giver.keeper.claims.held_budget(budget).give(self._rng.randrange(1, 100))
+        tokens = giver.claim_manager.claims.held_budget(budget).give(self._rng.randrange(1, 100))
         handover_id = f"handover-{self._rng.randrange(10**9)}"
         if tokens and self._rng.random() > 0.3:
-            held = taker.keeper.claims.held_budget(budget)
-            taker.loans.take_over(held, handover_id, tokens)
+            held = recipient.claim_manager.claims.held_budget(budget)
+            recipient.loan_log.take_over(held, handover_id, tokens)
             # A connection may carry the same call twice; the id tells.
-            taker.loans.take_over(held, handover_id, tokens)
+            recipient.loan_log.take_over(held, handover_id, tokens)
             self.counts["handed over"] += 1
-            if self._plant is InjectedFault.HANDOVER_AGAIN:
-                later = self._replaced(taker)
-                later.loans.take_over(later.keeper.claims.held_budget(budget), handover_id, tokens)
+            if self._fault is InjectedFault.REPEATS_HANDOVER:
+                replacement = self._replace(recipient)
+                replacement.loan_log.take_over(
+                    replacement.claim_manager.claims.held_budget(budget), handover_id, tokens
+                )
 
-    def _replaced(self, process: _Process) -> _Process:
+    def _replace(self, process: _Process) -> _Process:
         """Kill a process and return its machine's next start."""
-        self._bury(process)
-        later = self._start(process.machine)
-        self._processes[self._processes.index(process)] = later
-        return later
+        self._record_end(process)
+        replacement = self._start(process.machine)
+        self._processes[self._processes.index(process)] = replacement
+        return replacement
 
-    async def _cut(self) -> None:
-        everyone = self._rng.random() < 0.5
-        for process in self._processes if everyone else [self._any()]:
-            process.link.is_cut = True
+    async def _cut_off(self) -> None:
+        is_for_all = self._rng.random() < 0.5
+        for process in self._processes if is_for_all else [self._pick_process()]:
+            process.link.is_cut_off = True
 
-    async def _heal(self) -> None:
+    async def _reconnect_all(self) -> None:
         for process in self._processes:
-            process.link.is_cut = False
+            process.link.is_cut_off = False
 
     async def _kill(self) -> None:
-        process = self._any()
-        self._bury(process)
+        process = self._pick_process()
+        self._record_end(process)
         self.now_s += self._rng.uniform(0.5, 6.0)
         self._processes[self._processes.index(process)] = self._start(process.machine)
         self.counts["killed"] += 1
 
     async def _kill_all(self) -> None:
         for process in self._processes:
-            self._bury(process)
+            self._record_end(process)
         self.now_s += self._rng.uniform(0.5, 4.0)
         self._processes = [self._start(process.machine) for process in self._processes]
         for _ in range(2):
             for process in self._processes:
-                await self._look_at(process)
+                await self._poll_process(process)
             self.now_s += 0.7
         self.counts["all killed"] += 1
 
-    def _bury(self, process: _Process) -> None:
+    def _record_end(self, process: _Process) -> None:
         for budget in _BUDGETS:
-            self._ended[budget, process.keeper.claims.holder] = process.keeper.claims.held_budget(
-                budget
+            self._ended_holdings[budget, process.claim_manager.claims.holder] = (
+                process.claim_manager.claims.held_budget(budget)
             )
 
-    async def _late(self) -> None:
+    async def _deliver_late(self) -> None:
         self._store.deliver_late()
 
-    async def _jump(self) -> None:
-        machine = self._rng.choice(self._jumpers)
+    async def _jump_clock(self) -> None:
+        machine = self._rng.choice(self._jumping_machines)
         machine.wall_jump_s = self._rng.choice([0.0, self._rng.uniform(-8, 8)])
 
     async def _suspend(self) -> None:
--- a/mothstand/testing/crash_faults.py
+++ b/mothstand/testing/crash_faults.py
@@ -19,14 +19,14 @@
     """What is wrong with an instance."""
 
     NONE = "none"
-    HOLDS_NOTHING = "no request is quarantined"
-    KEEPS_TO_ITSELF = "an instance knows the ends that it saw, and no others"
-    TELLS_ONCE = "what the store does not take at once is told to nobody"
+    QUARANTINES_NOTHING = "no request is quarantined"
+    IGNORES_PEERS = "an instance knows the ends that it saw, and no others"
+    REPORTS_ONCE = "what the store does not take at once is told to nobody"
     NEVER_CLEARS = "a whole answer clears nothing"
-    TAKES_BREAKS_FOR_ENDS = "each broken connection counts as the end of its upstream"
+    COUNTS_BREAKS_AS_CRASHES = "each broken connection counts as the end of its upstream"
 
 
-class _LonelyFeed(QuarantineFeed):
+class _IsolatedFeed(QuarantineFeed):
     """Takes nothing from others."""
 
     def _apply_record(self, record: KeyedRecord, *, source: str) -> bool:
@@ -47,7 +47,7 @@
     outbox_type = _ForgetfulOutbox
 
 
-class _StubbornFeed(QuarantineFeed):
+class _NeverClearingFeed(QuarantineFeed):
     """Clears nothing."""
 
     def clear(self, digest: RequestDigest) -> None:
@@ -70,7 +70,7 @@
         self.quarantine = _IdleQuarantine()
 
 
-class _NoCheck(LivenessCheck):
+class _NothingListensCheck(LivenessCheck):
     """Takes every upstream for ended."""
 
     async def check(self, address: str) -> Liveness:
@@ -79,18 +79,20 @@
 
 
 _FEEDS: dict[InjectedFault, type[QuarantineFeed]] = {
-    InjectedFault.HOLDS_NOTHING: _IdleFeed,
-    InjectedFault.KEEPS_TO_ITSELF: _LonelyFeed,
-    InjectedFault.TELLS_ONCE: _ForgetfulFeed,
-    InjectedFault.NEVER_CLEARS: _StubbornFeed,
+    InjectedFault.QUARANTINES_NOTHING: _IdleFeed,
+    InjectedFault.IGNORES_PEERS: _IsolatedFeed,
+    InjectedFault.REPORTS_ONCE: _ForgetfulFeed,
+    InjectedFault.NEVER_CLEARS: _NeverClearingFeed,
 }
 
 
-def plant_feed(plant: InjectedFault) -> type[QuarantineFeed]:
+def choose_feed_type(fault: InjectedFault) -> type[QuarantineFeed]:
     """Return the kind of feed, with a fault if the plant is one of it."""
-    return _FEEDS.get(plant, QuarantineFeed)
+    return _FEEDS.get(fault, QuarantineFeed)
 
 
-def planted_check(plant: InjectedFault, right: LivenessCheck) -> LivenessCheck:
+def choose_check(fault: InjectedFault, correct_check: LivenessCheck) -> LivenessCheck:
     """Return a check, with a fault if the plant is one of it."""
-    return _NoCheck() if plant is InjectedFault.TAKES_BREAKS_FOR_ENDS else right
+    return (
+        _NothingListensCheck() if fault is InjectedFault.COUNTS_BREAKS_AS_CRASHES else correct_check
+    )
--- a/mothstand/testing/crash_fleet.py
+++ b/mothstand/testing/crash_fleet.py
@@ -26,12 +26,12 @@
 
 #: Arrivals that the operators allow after a request has ended so many engines, and the window.
 ALLOWED_ARRIVALS = 3
-ENDS = 3
+CRASH_THRESHOLD = 3
 STABLE_WINDOW_S = 3.0
 
 #: An engine is back so long after its end, under another id.
-_BACK_AFTER_S = 2.0
-_LOOK_S = 0.05
+_RESTART_DELAY_S = 2.0
+_POLL_S = 0.05
 
 #: Seconds between two events of an answer.
 _EVENT_S = 0.05
@@ -55,7 +55,7 @@
     instances: int = 6
     answers: Counter[int] = field(default_factory=Counter)
     crash_answers: Counter[int] = field(default_factory=Counter)
-    _names: dict[str, str] = field(default_factory=dict)
+    _engine_names: dict[str, str] = field(default_factory=dict)
     _sent: int = 0
 
     def run(self, *, duration_s: float, crash_gap_s: float, kill_at_s: float) -> None:
@@ -65,7 +65,7 @@
             name = f"e{number}"
             address = f"127.0.0.1:{free_port()}"
             self._start_engine(name, address)
-            self._names[address] = name
+            self._engine_names[address] = name
         for number in range(self.instances):
             self.fleet.start_instance(f"i{number}")
         anyio.run(self._play, duration_s, crash_gap_s, kill_at_s)
@@ -84,12 +84,12 @@
                     instance = f"i{rng.randrange(self.instances)}"
                     self._sent += 1
                     request_id = f"{body}-{self._sent}"
-                    tasks.start_soon(self._ask, http, instance, request_id, body, answers)
+                    tasks.start_soon(self._send, http, instance, request_id, body, answers)
                     await anyio.sleep(gap_s)
 
             tasks.start_soon(keep_sending, CRASH_BODY, crash_gap_s, self.crash_answers)
             tasks.start_soon(keep_sending, _INNOCENT_BODY, 0.05, self.answers)
-            tasks.start_soon(self._keep_engines, tasks)
+            tasks.start_soon(self._restart_ended_engines, tasks)
             await anyio.sleep(kill_at_s)
             for number in (0, 1):
                 self.fleet.processes[f"i{number}"].kill()
@@ -99,7 +99,7 @@
             await anyio.sleep(duration_s - kill_at_s)
             tasks.cancel_scope.cancel()
 
-    async def _ask(
+    async def _send(
         self,
         http: httpx.AsyncClient,
         instance: str,
@@ -117,24 +117,24 @@
             return
         answers[response.status_code] += 1
 
-    async def _keep_engines(self, tasks: TaskGroup) -> None:
+    async def _restart_ended_engines(self, tasks: TaskGroup) -> None:
         """Start each engine that has ended again, with another id at its address."""
         while True:
-            for address, name in list(self._names.items()):
+            for address, name in list(self._engine_names.items()):
                 if self.fleet.processes[name].process.poll() is not None:
-                    del self._names[address]
-                    tasks.start_soon(self._restart, address, name)
-            await anyio.sleep(_LOOK_S)
+                    del self._engine_names[address]
+                    tasks.start_soon(self._restart_engine, address, name)
+            await anyio.sleep(_POLL_S)
 
     def _start_engine(self, name: str, address: str) -> None:
         self.fleet.start_engine(name, event_s=_EVENT_S, crash_body=CRASH_BODY, address=address)
 
-    async def _restart(self, address: str, ended: str) -> None:
-        await anyio.sleep(_BACK_AFTER_S)
-        name = f"{ended}x"
+    async def _restart_engine(self, address: str, ended_name: str) -> None:
+        await anyio.sleep(_RESTART_DELAY_S)
+        name = f"{ended_name}x"
         await anyio.to_thread.run_sync(self._start_engine, name, address)
-        self.fleet.drop("keyed.servers", ended)
-        self._names[address] = name
+        self.fleet.delete("keyed.servers", ended_name)
+        self._engine_names[address] = name
 
     def arrivals(self) -> list[Arrival]:
         """Return what reached engines, in order."""
@@ -143,9 +143,9 @@
 
     def late_arrivals(self) -> list[Arrival]:
         """Return arrivals of the crashing request that count against the operators' bound."""
-        own = [a for a in self.arrivals() if a.body == CRASH_BODY]
-        crashes = [a for a in own if a.is_crash]
-        if len(crashes) < ENDS:
+        crash_arrivals = [a for a in self.arrivals() if a.body == CRASH_BODY]
+        crashes = [a for a in crash_arrivals if a.is_crash]
+        if len(crashes) < CRASH_THRESHOLD:
             return []
-        from_s = crashes[ENDS - 1].at_s + STABLE_WINDOW_S
-        return [a for a in own if not a.is_crash and a.at_s > from_s]
+        from_s = crashes[CRASH_THRESHOLD - 1].at_s + STABLE_WINDOW_S
+        return [a for a in crash_arrivals if not a.is_crash and a.at_s > from_s]
--- a/mothstand/testing/crash_histories.py
+++ b/mothstand/testing/crash_histories.py
@@ -42,11 +42,11 @@
 from ..platform.parts import UPSTREAMS_STREAM
 from ..platform.records import decode_upstream
 from ..types import DataCentre
-from .crash_faults import InjectedFault, plant_feed, planted_check
-from .crash_fleet import ENDS, STABLE_WINDOW_S
-from .fakes import RETRIES, NoWitness, SilentPeers
-from .frozen_processes import HangingClock, HangingLink, HangingProcesses
-from .memory_store import MemoryStore, StoreLink, random_fate
+from .crash_faults import InjectedFault, choose_check, choose_feed_type
+from .crash_fleet import CRASH_THRESHOLD, STABLE_WINDOW_S
+from .fakes import RETRIES, NoWitness, UnreachablePeers
+from .frozen_processes import FreezableClock, FreezableStoreLink, FrozenProcesses
+from .memory_store import MemoryStore, StoreLink, random_outcomes
 from .registrations import registration
 from .virtual_time import run_in_virtual_time
 
@@ -57,20 +57,20 @@
     from ..gateway.store import KeyedRecord
 
 _SERVICE = "llm"
-_HERE = DataCentre("sto-a")
+_DATA_CENTRE = DataCentre("sto-a")
 
 #: Bodies of the requests that come again and again.
 CRASHING = b"crashing"
 POPULAR = b"popular"
 
 #: Seconds from the processes' start to the first callers.
-_LEAD_S = 5.0
+_WARM_UP_S = 5.0
 
 _RUN_TO_CRASH_S = 0.05
-_LAPSE_S = 3.6
+_EXPIRY_S = 3.6
 
 #: A read of the store that hangs is given up after this.
-_GIVES_UP_S = 0.3
+_READ_TIMEOUT_S = 0.3
 
 _REQUESTS_PER_S = 20.0
 
@@ -113,7 +113,7 @@
     """
 
     late_arrivals: int = 0
-    ends: int = 0
+    crashes: int = 0
     outcomes: dict[str, Counter[str]] = field(default_factory=dict)
 
 
@@ -148,7 +148,7 @@
         """Close nothing."""
 
 
-class _Client(UpstreamClient):
+class _SimulatedClient(UpstreamClient):
     """An instance's way to the engines."""
 
     def __init__(self, history: CrashHistory, instance: _Instance) -> None:
@@ -159,7 +159,7 @@
         self, upstream: RegisteredUpstream, request: OutgoingRequest, headers: RawHeaders
     ) -> UpstreamAnswer:
         """Run a request on an engine."""
-        await self._history.hanging.thawed(self._instance.name)
+        await self._history.frozen.wait_until_thawed(self._instance.name)
         engine = self._history.engines[upstream.address]
         if not engine.is_up:
             raise NotConnectedError(upstream.address)
@@ -169,7 +169,7 @@
         return _Answer()
 
 
-class _Check(LivenessCheck):
+class _SimulatedCheck(LivenessCheck):
     """Tells whether an engine runs at an address."""
 
     def __init__(self, history: CrashHistory, name: str) -> None:
@@ -178,7 +178,7 @@
 
     async def check(self, address: str) -> Liveness:
         """Return whether the engine there runs."""
-        await self._history.hanging.thawed(self._name)
+        await self._history.frozen.wait_until_thawed(self._name)
         await anyio.sleep(0.001)
         engine = self._history.engines[address]
         return Liveness.LISTENING if engine.is_up else Liveness.NOT_LISTENING
@@ -206,7 +206,7 @@
         self.is_started = True
 
 
-class _Peers(SilentPeers):
+class _Peers(UnreachablePeers):
     """Calls between the instances, by their names as addresses."""
 
     def __init__(self, history: CrashHistory, name: str) -> None:
@@ -215,12 +215,12 @@
 
     async def send_quarantine_records(self, address: str, records: tuple[KeyedRecord, ...]) -> None:
         """Tell an instance that lives."""
-        await self._history.hanging.thawed(self._name)
+        await self._history.frozen.wait_until_thawed(self._name)
         peer = self._history.alive.get(address)
         if peer is None:
             raise PeerUnreachableError(address)
-        await self._history.hanging.thawed(address)
-        peer.feed.apply_from_peer(records)
+        await self._history.frozen.wait_until_thawed(address)
+        peer.quarantine_feed.apply_from_peer(records)
 
 
 class _Instance:
@@ -231,9 +231,9 @@
         self.link = link
         self.started_s = anyio.current_time()
         self.scope = anyio.CancelScope()
-        clock = HangingClock(history.hanging, name, skew_s=history.skew_s(name))
+        clock = FreezableClock(history.frozen, name, skew_s=history.skew_s(name))
         health = PlatformHealth(clock)
-        self.feed = plant_feed(history.plant)(
+        self.quarantine_feed = choose_feed_type(history.fault)(
             link,
             clock,
             health,
@@ -242,35 +242,39 @@
             lambda: [other for other in history.alive if other != name],
             lambda: len(history.alive),
         )
-        check = planted_check(history.plant, _Check(history, name))
-        self.watch = CrashDetector(check, clock, self.feed.report)
-        self.upstreams = UpstreamFeed(
+        check = choose_check(history.fault, _SimulatedCheck(history, name))
+        self.crash_detector = CrashDetector(check, clock, self.quarantine_feed.report)
+        self.upstream_feed = UpstreamFeed(
             link, UPSTREAMS_STREAM, clock, health, decode_upstream, self._forget, 1.0, NoWitness()
         )
-        self._placement = Placement(_HERE)
-        self.guard = CrashGuard(self.feed, self.watch, clock)
+        self._placement = Placement(_DATA_CENTRE)
+        self.crash_guard = CrashGuard(self.quarantine_feed, self.crash_detector, clock)
         self.forwarder = Forwarder(
-            _Client(history, self),
+            _SimulatedClient(history, self),
             PlatformHeaders(),
             self._placement,
-            self.upstreams.directory,
+            self.upstream_feed.directory,
             RETRIES,
             lambda: history.instances,
             StallDetector(),
-            self.guard,
+            self.crash_guard,
             clock,
             GatewayMetrics(),
         )
 
     def _forget(self, upstream: RegisteredUpstream) -> None:
         self._placement.forget(upstream)
-        self.watch.note_deregistered(upstream)
+        self.crash_detector.note_deregistered(upstream)
 
     async def run(self) -> None:
         """Live until killed."""
         with self.scope:
             async with anyio.create_task_group() as tasks:
-                for work in (self.watch.run, self.feed.run, self.upstreams.run):
+                for work in (
+                    self.crash_detector.run,
+                    self.quarantine_feed.run,
+                    self.upstream_feed.run,
+                ):
                     tasks.start_soon(work)
 
 
@@ -295,8 +299,8 @@
     """
 
     seed: int
-    troubles: CrashDisruption
-    plant: InjectedFault = InjectedFault.NONE
+    disruptions: CrashDisruption
+    fault: InjectedFault = InjectedFault.NONE
     has_crashing: bool = True
     popular_share: float = 0.2
     reset_share: float = 0.02
@@ -308,10 +312,10 @@
     order: int = 0
     alive: dict[str, _Instance] = field(default_factory=dict)
     engines: dict[str, _Engine] = field(default_factory=dict)
-    hanging: HangingProcesses = field(default_factory=HangingProcesses)
+    frozen: FrozenProcesses = field(default_factory=FrozenProcesses)
     _store: MemoryStore = field(default_factory=MemoryStore)
-    _disturbed_s: dict[str, float] = field(default_factory=dict)
-    _cut_names: set[str] = field(default_factory=set)
+    _last_disturbed_s: dict[str, float] = field(default_factory=dict)
+    _cut_off_names: set[str] = field(default_factory=set)
     _result: CrashResult = field(default_factory=CrashResult)
     _crashed_s: list[float] = field(default_factory=list)
     _tasks: TaskGroup | None = None
@@ -324,12 +328,12 @@
         run_in_virtual_time(self._play, order=self.order)
         return self._result
 
-    def _chance(self, *what: object) -> random.Random:
+    def _make_rng(self, *what: object) -> random.Random:
         return random.Random(f"{self.seed} {what}")
 
     def skew_s(self, name: str) -> float:
         """Return by how much the time of day of an instance's machine is ahead."""
-        return self._chance("skew", name).choice(_SKEWS_S)
+        return self._make_rng("skew", name).choice(_SKEWS_S)
 
     async def run_on(self, engine: _Engine, request: OutgoingRequest, instance: _Instance) -> None:
         """Run a request on an engine; it breaks with the engine.
@@ -339,16 +343,16 @@
         ConnectionBrokenError
             If it has no whole answer.
         """
-        rng = self._chance("run", request.request_id, engine.upstream_id)
+        rng = self._make_rng("run", request.request_id, engine.upstream_id)
         if request.body == CRASHING:
             self._count_arrival(instance)
             await anyio.sleep(_RUN_TO_CRASH_S)
             if engine.is_up:
                 self._crashed_s.append(anyio.current_time())
-                self._result.ends += 1
-                self._end_engine(engine, rng.choice([1.0, 2.0, 4.0]))
+                self._result.crashes += 1
+                self._crash_engine(engine, rng.choice([1.0, 2.0, 4.0]))
             raise ConnectionBrokenError("reset")
-        if CrashDisruption.RESETS in self.troubles and rng.random() < self.reset_share:
+        if CrashDisruption.RESETS in self.disruptions and rng.random() < self.reset_share:
             await anyio.sleep(0.02)
             raise ConnectionBrokenError("reset")
         with anyio.move_on_after(rng.choice([0.05, 0.2, 1.0])):
@@ -356,30 +360,32 @@
             raise ConnectionBrokenError("reset")
 
     def _count_arrival(self, instance: _Instance) -> None:
-        if len(self._crashed_s) < ENDS:
+        if len(self._crashed_s) < CRASH_THRESHOLD:
             return
         now_s = anyio.current_time()
-        if now_s > self._crashed_s[ENDS - 1] + STABLE_WINDOW_S and self._in_touch(instance):
+        if now_s > self._crashed_s[CRASH_THRESHOLD - 1] + STABLE_WINDOW_S and self._is_undisturbed(
+            instance
+        ):
             self._result.late_arrivals += 1
 
-    def _in_touch(self, instance: _Instance) -> bool:
+    def _is_undisturbed(self, instance: _Instance) -> bool:
         """Return whether an instance has been undisturbed for the stable window."""
-        since_s = max(instance.started_s, self._disturbed_s.get(instance.name, 0.0))
-        is_cut = instance.name in self._cut_names
-        return not is_cut and anyio.current_time() - since_s >= STABLE_WINDOW_S
+        since_s = max(instance.started_s, self._last_disturbed_s.get(instance.name, 0.0))
+        is_cut_off = instance.name in self._cut_off_names
+        return not is_cut_off and anyio.current_time() - since_s >= STABLE_WINDOW_S
 
-    def _end_engine(self, engine: _Engine, down_s: float) -> None:
+    def _crash_engine(self, engine: _Engine, down_s: float) -> None:
         assert self._tasks is not None
         engine.ended.set()
-        self._tasks.start_soon(self._lapse, engine.upstream_id)
+        self._tasks.start_soon(self._expire_registration, engine.upstream_id)
         self._tasks.start_soon(self._start_engine, engine.address, down_s)
 
-    async def _lapse(self, upstream_id: str) -> None:
-        await anyio.sleep(_LAPSE_S)
+    async def _expire_registration(self, upstream_id: str) -> None:
+        await anyio.sleep(_EXPIRY_S)
         self._store.put(UPSTREAMS_STREAM, upstream_id, None)
 
-    async def _start_engine(self, address: str, after_s: float) -> None:
-        await anyio.sleep(after_s)
+    async def _start_engine(self, address: str, delay_s: float) -> None:
+        await anyio.sleep(delay_s)
         self._starts += 1
         engine = _Engine(f"e{self._starts}", address)
         self.engines[address] = engine
@@ -393,10 +399,10 @@
                 await self._start_engine(f"10.0.0.{number}:80", 0.0)
             for number in range(self.instances):
                 tasks.start_soon(self._start_instance, f"i{number}", 0.0)
-            await anyio.sleep(_LEAD_S)
-            for trouble in CrashDisruption:
-                if trouble in self.troubles:
-                    tasks.start_soon(self._series, trouble)
+            await anyio.sleep(_WARM_UP_S)
+            for disruption in CrashDisruption:
+                if disruption in self.disruptions:
+                    tasks.start_soon(self._repeat_disruption, disruption)
             if self.has_crashing:
                 tasks.start_soon(self._send_crashing)
             tasks.start_soon(self._send_others)
@@ -404,14 +410,14 @@
             tasks.cancel_scope.cancel()
 
     async def _send_crashing(self) -> None:
-        rng = self._chance("crashing")
+        rng = self._make_rng("crashing")
         while True:
             await anyio.sleep(rng.choice([0.1, 0.5, 1.0, 3.0]))
             for _ in range(rng.choice([1, 1, 1, 3])):
                 self._send("crashing", CRASHING, rng)
 
     async def _send_others(self) -> None:
-        rng = self._chance("others")
+        rng = self._make_rng("others")
         while True:
             await anyio.sleep(rng.expovariate(_REQUESTS_PER_S))
             if rng.random() < self.popular_share:
@@ -428,10 +434,10 @@
 
     async def _request(self, kind: str, body: bytes, instance: _Instance, request_id: str) -> None:
         """Send a request, and again to other instances while it fails."""
-        rng = self._chance("repeats", request_id)
+        rng = self._make_rng("repeats", request_id)
         outcome = "killed"
         for number in range(1 + self.repeats):
-            await self.hanging.thawed(instance.name)
+            await self.frozen.wait_until_thawed(instance.name)
             if self.alive.get(instance.name) is instance:
                 outcome = await self._forward(body, instance, f"{request_id}-{number}")
             if outcome == "answered":
@@ -444,30 +450,30 @@
     async def _forward(self, body: bytes, instance: _Instance, request_id: str) -> str:
         call = _call(body, request_id)
         try:
-            async with instance.guard.admit(call):
+            async with instance.crash_guard.admit(call):
                 await instance.forwarder.run(call, _Caller())
         except RefusedError as error:
             return error.refusal.kind.value
         return "answered"
 
-    async def _series(self, trouble: CrashDisruption) -> None:
+    async def _repeat_disruption(self, disruption: CrashDisruption) -> None:
         """Let one kind of trouble happen again and again."""
-        rng = self._chance(trouble)
+        rng = self._make_rng(disruption)
         while True:
             await anyio.sleep(rng.choice([0.7, 2.0, 4.0, 9.0]))
-            match trouble:
+            match disruption:
                 case CrashDisruption.KILLS:
-                    self._kill(self._some(rng), rng)
+                    self._kill(self._pick_instances(rng), rng)
                 case CrashDisruption.STORE_AWAY:
-                    await self._cut(self._some(rng), rng.uniform(0.5, 10.0))
+                    await self._cut_off(self._pick_instances(rng), rng.uniform(0.5, 10.0))
                 case CrashDisruption.FREEZES:
-                    self._freeze(self._some(rng), rng.uniform(0.5, 4.0))
+                    self._freeze(self._pick_instances(rng), rng.uniform(0.5, 4.0))
                 case CrashDisruption.ENGINES_CRASH:
                     self._crash_engines(rng)
                 case _:
                     return
 
-    def _some(self, rng: random.Random) -> set[str]:
+    def _pick_instances(self, rng: random.Random) -> set[str]:
         share = rng.choice([0.2, 0.5, 1.0])
         return {name for name in sorted(self.alive) if rng.random() < share}
 
@@ -475,12 +481,12 @@
         share = rng.choice([0.2, 0.5, 0.8])
         for engine in list(self.engines.values()):
             if engine.is_up and rng.random() < share:
-                self._end_engine(engine, rng.choice([0.5, 1.5, 3.0]))
+                self._crash_engine(engine, rng.choice([0.5, 1.5, 3.0]))
 
-    def _freeze(self, names: set[str], for_s: float) -> None:
-        until_s = anyio.current_time() + for_s
-        self.hanging.freeze(names, until_s)
-        self._disturbed_s |= dict.fromkeys(names, until_s)
+    def _freeze(self, names: set[str], duration_s: float) -> None:
+        until_s = anyio.current_time() + duration_s
+        self.frozen.freeze(names, until_s)
+        self._last_disturbed_s |= dict.fromkeys(names, until_s)
 
     def _kill(self, names: set[str], rng: random.Random) -> None:
         assert self._tasks is not None
@@ -488,27 +494,33 @@
             self.alive.pop(name).scope.cancel()
             self._tasks.start_soon(self._start_instance, name, rng.choice([0.3, 1.0, 3.0]))
 
-    async def _cut(self, names: set[str], for_s: float) -> None:
+    async def _cut_off(self, names: set[str], duration_s: float) -> None:
         """Cut instances off the store; all of them as if the store itself were away."""
         names = set(self.alive) if len(names) == len(self.alive) else names
-        self._cut_names = names
-        self._set_links()
-        await anyio.sleep(for_s)
-        self._cut_names = set()
-        self._disturbed_s |= dict.fromkeys(names, anyio.current_time())
-        self._set_links()
-
-    def _set_links(self) -> None:
+        self._cut_off_names = names
+        self._update_links()
+        await anyio.sleep(duration_s)
+        self._cut_off_names = set()
+        self._last_disturbed_s |= dict.fromkeys(names, anyio.current_time())
+        self._update_links()
+
+    def _update_links(self) -> None:
         for instance in self.alive.values():
-            instance.link.is_cut = instance.name in self._cut_names
+            instance.link.is_cut_off = instance.name in self._cut_off_names
 
-    async def _start_instance(self, name: str, after_s: float) -> None:
-        await anyio.sleep(after_s)
+    async def _start_instance(self, name: str, delay_s: float) -> None:
+        await anyio.sleep(delay_s)
         self._starts += 1
-        failing = self.failing_appends if CrashDisruption.STORE_AWAY in self.troubles else 0.0
-        fate = random_fate(self._chance(name, self._starts), failing=failing)
-        link = HangingLink(self._store, self.hanging, name, fate, gives_up_after_s=_GIVES_UP_S)
-        link.is_cut = name in self._cut_names
+        failing_share = (
+            self.failing_appends if CrashDisruption.STORE_AWAY in self.disruptions else 0.0
+        )
+        decide_outcome = random_outcomes(
+            self._make_rng(name, self._starts), failing_share=failing_share
+        )
+        link = FreezableStoreLink(
+            self._store, self.frozen, name, decide_outcome, read_timeout_s=_READ_TIMEOUT_S
+        )
+        link.is_cut_off = name in self._cut_off_names
         instance = _Instance(self, name, link)
         self.alive[name] = instance
         await instance.run()
--- a/mothstand/testing/fakes.py
+++ b/mothstand/testing/fakes.py
@@ -35,12 +35,12 @@
 class NoWitness(StoreWitness):
     """Nobody who could tell whether the store was up."""
 
-    async def read_without_gap(self, gap_s: float) -> bool:
+    async def has_read_without_gap(self, gap_s: float) -> bool:
         """Return False: it may have been away."""
         return False
 
 
-class SilentPeers(PeerLink):
+class UnreachablePeers(PeerLink):
     """Peers that answer no call; a test's own class answers those that it is about."""
 
     async def borrow(self, address: str, request: LoanRequest) -> LoanReply:
@@ -116,14 +116,14 @@
 class FakeMembership(Membership):
     """Membership whose beliefs a test sets; it may be wrong in every way."""
 
-    def __init__(self, me: Member, data_centre: DataCentre) -> None:
-        super().__init__(me, data_centre, suspect_after_s=1.0)
-        self.believed_alive: dict[str, Member] = {}
-        self.believed_elsewhere: dict[str, Member] = {}
+    def __init__(self, local_member: Member, data_centre: DataCentre) -> None:
+        super().__init__(local_member, data_centre, suspect_after_s=1.0)
+        self.alive_peers: dict[str, Member] = {}
+        self.alive_remote_members: dict[str, Member] = {}
 
     def is_alive(self, member: Member, now_s: float) -> bool:
         """Return what the test says."""
-        return member == self.local_member or self.believed_alive.get(member.name) == member
+        return member == self.local_member or self.alive_peers.get(member.name) == member
 
     def is_alive_and_not_stopping(self, member: Member, now_s: float) -> bool:
         """Return what the test says."""
@@ -131,16 +131,16 @@
 
     def find(self, incarnation: str, now_s: float) -> Member | None:
         """Return the member that the test says is alive."""
-        known = [
+        alive_members = [
             self.local_member,
-            *self.believed_alive.values(),
-            *self.believed_elsewhere.values(),
+            *self.alive_peers.values(),
+            *self.alive_remote_members.values(),
         ]
-        return next((m for m in known if m.incarnation == incarnation), None)
+        return next((m for m in alive_members if m.incarnation == incarnation), None)
 
     def local_alive(self, now_s: float) -> dict[str, Member]:
         """Return whom the test says are alive, and this one."""
-        return {**self.believed_alive, self.local_member.name: self.local_member}
+        return {**self.alive_peers, self.local_member.name: self.local_member}
 
 
 class NoPeers(PeerCalls):
@@ -162,7 +162,9 @@
         """Fail."""
         raise PeerError("no peers")
 
-    async def posted(self, address: str, tickets: tuple[Ticket, ...], *, timeout_s: float) -> None:
+    async def report_posted(
+        self, address: str, tickets: tuple[Ticket, ...], *, timeout_s: float
+    ) -> None:
         """Fail."""
         raise PeerError("no peers")
 
@@ -179,23 +181,23 @@
     def __init__(self, clock: Clock | None = None) -> None:
         self.records: dict[str, list[str]] = {}
         self._clock = clock
-        self.down = False
-        self.lose_answers = 0
+        self.is_down = False
+        self.answers_to_lose = 0
 
     async def append(self, stream: str, payload: bytes) -> int:
         """Append, unless down; `lose_answers` times the answer is lost after the effect."""
-        if self.down:
+        if self.is_down:
             raise LogError("down")
         stored = self.records.setdefault(stream, [])
         stored.append(payload.decode())
-        if self.lose_answers > 0:
-            self.lose_answers -= 1
+        if self.answers_to_lose > 0:
+            self.answers_to_lose -= 1
             raise LogError("answer lost")
         return len(stored)
 
     async def read(self, stream: str, from_offset: int, *, wait_s: float) -> LogPage:
         """Return what there is, after a wait if it is nothing and there is a clock."""
-        if self.down:
+        if self.is_down:
             raise LogError("down")
         if self._clock is not None and len(self.records.get(stream, [])) < from_offset and wait_s:
             await self._clock.sleep(wait_s)
--- a/mothstand/testing/fleet.py
+++ b/mothstand/testing/fleet.py
@@ -21,7 +21,7 @@
     from pathlib import Path
 
 FLEET_KEY = "a-fleet-key-for-loopback"
-_START_S = 20.0
+_START_TIMEOUT_S = 20.0
 _POLL_S = 0.05
 
 
@@ -31,13 +31,13 @@
 
 #: Chance of its own: that of the code under test is seeded, and each test, also of another run
 #: beside this one, would get the same ports ("address already in use").
-_port_chance = random.SystemRandom()
+_port_rng = random.SystemRandom()
 
 
 def free_port() -> int:
     """Return a TCP port of the loopback address that nothing listens on."""
     while True:
-        port = _port_chance.choice(_PORTS)
+        port = _port_rng.choice(_PORTS)
         with socket.socket() as probe:
             try:
                 probe.bind(("127.0.0.1", port))
@@ -107,7 +107,7 @@
     timing: str = "bills_append_s = 0.5"
     command: tuple[str, ...] = (sys.executable, "-m", "mothstand.cli")
     processes: dict[str, FleetProcess] = field(default_factory=dict)
-    _number: int = 0
+    _started_count: int = 0
 
     def __enter__(self) -> Fleet:
         """Return the fleet."""
@@ -143,7 +143,7 @@
         return process
 
     def start_instance(
-        self, name: str, data_centre: str, *, listed: bool = True, seeds: str = ""
+        self, name: str, data_centre: str, *, is_listed: bool = True, seeds: str = ""
     ) -> FleetProcess:
         """Start an entry instance, under a new incarnation, and put it into the list."""
         address, peers_address = (f"127.0.0.1:{free_port()}" for _ in range(2))
@@ -163,7 +163,7 @@
             name, self.popen(name, arguments), address, peers_address, data_centre
         )
         self.processes[name] = process
-        if listed:
+        if is_listed:
             self.publish_list()
         return process
 
@@ -186,7 +186,7 @@
         journal: list[dict[str, Any]] = answer.json()
         return journal
 
-    def appends(self) -> dict[str, int]:
+    def append_counts(self) -> dict[str, int]:
         """Return the appends for each stream."""
         counts: dict[str, int] = httpx.get(f"{self.platform.url}/counts", trust_env=False).json()
         return counts
@@ -236,18 +236,20 @@
         process = FleetProcess(name, self.popen(name, arguments), address)
         self.processes[name] = process
         host, _, port = address.rpartition(":")
-        wait_until(lambda: _accepts(host, int(port)), f"{name} does not listen")
+        wait_until(lambda: _accepts_connections(host, int(port)), f"{name} does not listen")
         return process
 
     def popen(self, name: str, arguments: tuple[str, ...]) -> subprocess.Popen[bytes]:
         """Start a process with its output in the folder."""
-        self._number += 1
-        log = (self.folder / f"{self._number:02}-{name}.log").open("wb")
+        self._started_count += 1
+        log = (self.folder / f"{self._started_count:02}-{name}.log").open("wb")
         with log:
             return subprocess.Popen(arguments, stdout=log, stderr=log)
 
 
-def wait_until(ready: Any, message: str | Callable[[], str], timeout_s: float = _START_S) -> None:
+def wait_until(
+    condition: Any, message: str | Callable[[], str], timeout_s: float = _START_TIMEOUT_S
+) -> None:
     """Poll until `ready` returns true.
 
     Raises
@@ -256,13 +258,13 @@
         With `message`, after `timeout_s`.
     """
     deadline = time.monotonic() + timeout_s
-    while not ready():
+    while not condition():
         if time.monotonic() > deadline:
             raise AssertionError(message if isinstance(message, str) else message())
         time.sleep(_POLL_S)
 
 
-def _accepts(host: str, port: int) -> bool:
+def _accepts_connections(host: str, port: int) -> bool:
     with socket.socket() as probe:
         probe.settimeout(0.2)
         return probe.connect_ex((host, port)) == 0
--- a/mothstand/testing/frozen_processes.py
+++ b/mothstand/testing/frozen_processes.py
@@ -21,22 +21,22 @@
 
 
 @dataclass(slots=True)
-class HangingProcesses:
+class FrozenProcesses:
     """Until when each process hangs, in virtual time."""
 
-    _until_s: dict[str, float] = field(default_factory=dict)
+    _frozen_until_s: dict[str, float] = field(default_factory=dict)
 
     def freeze(self, names: Iterable[str], until_s: float) -> None:
         """Let processes hang until a time."""
-        self._until_s |= dict.fromkeys(names, until_s)
+        self._frozen_until_s |= dict.fromkeys(names, until_s)
 
-    async def thawed(self, name: str) -> None:
+    async def wait_until_thawed(self, name: str) -> None:
         """Wait until a process no longer hangs."""
-        while (wait_s := self._until_s.get(name, 0.0) - anyio.current_time()) > 0:
+        while (wait_s := self._frozen_until_s.get(name, 0.0) - anyio.current_time()) > 0:
             await anyio.sleep(wait_s)
 
 
-class HangingClock(VirtualClock):
+class FreezableClock(VirtualClock):
     """Virtual time of a process that hangs now and then.
 
     Parameters
@@ -45,7 +45,7 @@
         By how much its time of day is ahead of others.
     """
 
-    def __init__(self, processes: HangingProcesses, name: str, *, skew_s: float = 0.0) -> None:
+    def __init__(self, processes: FrozenProcesses, name: str, *, skew_s: float = 0.0) -> None:
         self._processes = processes
         self._name = name
         self._skew = timedelta(seconds=skew_s)
@@ -57,21 +57,21 @@
     async def sleep(self, delay_s: float) -> None:
         """Sleep on the loop, and on while the process hangs."""
         await super().sleep(delay_s)
-        await self._processes.thawed(self._name)
+        await self._processes.wait_until_thawed(self._name)
 
 
-class HangingLink(StoreLink):
+class FreezableStoreLink(StoreLink):
     """A way to the store that takes time, and hangs along with its process."""
 
     def __init__(
         self,
         store: MemoryStore,
-        processes: HangingProcesses,
+        processes: FrozenProcesses,
         name: str,
-        fate: Callable[[], StoreCallOutcome],
-        gives_up_after_s: float = 0.0,
+        decide_outcome: Callable[[], StoreCallOutcome],
+        read_timeout_s: float = 0.0,
     ) -> None:
-        super().__init__(store, fate, gives_up_after_s)
+        super().__init__(store, decide_outcome, read_timeout_s)
         self._processes = processes
         self._name = name
 
@@ -79,24 +79,24 @@
         self, stream: Stream, records: tuple[KeyedRecord, ...], *, at_offset: int | None = None
     ) -> None:
         """Append after half of the call's time, and answer after the other."""
-        await self._processes.thawed(self._name)
+        await self._processes.wait_until_thawed(self._name)
         await anyio.sleep(_STORE_CALL_S / 2)
         await super().append(stream, records, at_offset=at_offset)
         await anyio.sleep(_STORE_CALL_S / 2)
-        await self._processes.thawed(self._name)
+        await self._processes.wait_until_thawed(self._name)
 
     async def read(self, stream: Stream, from_offset: int, *, wait_s: float = 0.0) -> StreamPage:
         """Read after the call's time."""
-        await self._processes.thawed(self._name)
+        await self._processes.wait_until_thawed(self._name)
         page = await super().read(stream, from_offset, wait_s=wait_s)
         await anyio.sleep(_STORE_CALL_S)
-        await self._processes.thawed(self._name)
+        await self._processes.wait_until_thawed(self._name)
         return page
 
     async def newest(self, stream: Stream) -> StreamPage:
         """List after the call's time."""
-        await self._processes.thawed(self._name)
+        await self._processes.wait_until_thawed(self._name)
         page = await super().newest(stream)
         await anyio.sleep(_STORE_CALL_S)
-        await self._processes.thawed(self._name)
+        await self._processes.wait_until_thawed(self._name)
         return page
--- a/mothstand/testing/gateway_fleet.py
+++ b/mothstand/testing/gateway_fleet.py
@@ -29,7 +29,7 @@
     folder: Path
     processes: dict[str, FleetProcess] = field(default_factory=dict)
     _version: int = 0
-    _metrics: dict[str, str] = field(default_factory=dict)
+    _metrics_addresses: dict[str, str] = field(default_factory=dict)
 
     def __enter__(self) -> GatewayFleet:
         """Return the fleet with its store started."""
@@ -87,17 +87,19 @@
             f"[timing]\ngrace_s = {grace_s}\n",
             encoding="utf-8",
         )
-        self._metrics[name] = metrics
+        self._metrics_addresses[name] = metrics
         command = (sys.executable, "-m", "mothstand.gateway_main", str(path))
         process = self._spawn(name, command, callers, peers)
-        wait_until(lambda: _status(f"http://{ready}/readiness") == httpx.codes.OK, f"{name} ready")
+        wait_until(
+            lambda: _get_status(f"http://{ready}/readiness") == httpx.codes.OK, f"{name} ready"
+        )
         return process
 
     def restart_instance(self, name: str) -> FleetProcess:
         """Start an instance that has ended again, with the settings that it had."""
-        ended = self.processes[name]
+        ended_process = self.processes[name]
         command = (sys.executable, "-m", "mothstand.gateway_main", str(self.folder / f"{name}.ini"))
-        return self._spawn(name, command, ended.address, ended.peers_address)
+        return self._spawn(name, command, ended_process.address, ended_process.peers_address)
 
     def publish(self, *, prepaid_tokens: int) -> None:
         """Publish a configuration with one route and one workspace."""
@@ -129,16 +131,16 @@
         content = json.dumps(value).encode()
         httpx.post(f"{self.store.url}/put", params=params, content=content).raise_for_status()
 
-    def drop(self, topic: str, key: str) -> None:
+    def delete(self, topic: str, key: str) -> None:
         """Drop a record's key, as the end of a registration does."""
         params = {"topic": topic, "key": key}
         httpx.post(f"{self.store.url}/put", params=params).raise_for_status()
 
-    def set_store_away(self, away: bool) -> None:
+    def set_store_unreachable(self, is_unreachable: bool) -> None:
         """Let the store fail all calls, or come back."""
-        httpx.post(f"{self.store.url}/away", params={"on": int(away)}).raise_for_status()
+        httpx.post(f"{self.store.url}/away", params={"on": int(is_unreachable)}).raise_for_status()
 
-    def ask(
+    def send_request(
         self,
         instance: FleetProcess,
         request_id: str,
@@ -151,7 +153,7 @@
         headers = request_headers(request_id, tokens, key)
         return httpx.post(instance.url + path, headers=headers, content=b"body", timeout=10)
 
-    def leave_after_first_event(self, instance: FleetProcess, request_id: str) -> None:
+    def disconnect_after_first_event(self, instance: FleetProcess, request_id: str) -> None:
         """Send one request, and close the connection once its answer has begun."""
         headers = request_headers(request_id)
         url = instance.url + PREFIX
@@ -164,7 +166,7 @@
 
     def metrics(self, instance: FleetProcess) -> str:
         """Return an instance's metrics."""
-        return httpx.get(f"http://{self._metrics[instance.name]}/metrics").text
+        return httpx.get(f"http://{self._metrics_addresses[instance.name]}/metrics").text
 
     def journal(self, engine: FleetProcess) -> list[dict[str, str]]:
         """Return the headers of the requests that an engine ran."""
@@ -182,7 +184,7 @@
             *options,
         )
         process = self._spawn(name, command, address)
-        wait_until(lambda: _status(f"http://{address}/journal") != 0, f"{name} listens")
+        wait_until(lambda: _get_status(f"http://{address}/journal") != 0, f"{name} listens")
         return process
 
     def _spawn(
@@ -208,7 +210,7 @@
     }
 
 
-def _status(url: str) -> int:
+def _get_status(url: str) -> int:
     """Return the status of a GET, 0 for no answer."""
     try:
         return httpx.get(url, timeout=1).status_code
--- a/mothstand/testing/histories.py
+++ b/mothstand/testing/histories.py
@@ -40,8 +40,8 @@
 
 SHARD = Shard(0)
 BUDGET = BudgetName("lund")
-PLACES = (DataCentre("sto-a"), DataCentre("sto-b"))
-_MOST_BOUND_TOKENS = 40
+DATA_CENTRES = (DataCentre("sto-a"), DataCentre("sto-b"))
+_MAX_BOUND_TOKENS = 40
 _TOP_UP_TOKENS = 200
 
 
@@ -50,7 +50,7 @@
 
 
 @dataclass(slots=True)
-class Running:
+class RunningRequest:
     """A request that was dispatched and has not ended."""
 
     ticket: Ticket
@@ -63,7 +63,7 @@
 
     node: ShardNode
     writer: FakeWriter[LedgerRecord]
-    beliefs: FakeMembership
+    membership: FakeMembership
     clock: FakeClock
     read_offset: int = 0
     log_silent_s: float = 0.0
@@ -94,21 +94,27 @@
     """
 
     def __init__(
-        self, rng: random.Random, *, plant: InjectedFault = InjectedFault.NONE, per_place: int = 2
+        self,
+        rng: random.Random,
+        *,
+        fault: InjectedFault = InjectedFault.NONE,
+        per_data_centre: int = 2,
     ) -> None:
         self.rng = rng
-        self.plant = plant
+        self.fault = fault
         self.counts = Counts()
         self.log: list[LedgerRecord] = []
-        self.truth = self._make_fold()
+        self.reference_fold = self._make_fold()
         self.paid_tokens = _TOP_UP_TOKENS
         self.used_tokens = 0
         self.spent_tokens: dict[Epoch, int] = {}
-        self.running: dict[str, Running] = {}
-        self.places = {f"{place}-{i}": place for place in PLACES for i in range(per_place)}
+        self.running_requests: dict[str, RunningRequest] = {}
+        self.data_centres = {
+            f"{place}-{i}": place for place in DATA_CENTRES for i in range(per_data_centre)
+        }
         self.config = FleetConfig(escrow=EscrowPolicy(allowance_percent=10, promotion_percent=30))
-        self.processes = {name: self._start(name, 1) for name in self.places}
-        self._incarnations = dict.fromkeys(self.places, 1)
+        self.processes = {name: self._start(name, 1) for name in self.data_centres}
+        self._incarnations = dict.fromkeys(self.data_centres, 1)
         self._requests = 0
 
     def run(self, steps: int) -> None:
@@ -132,24 +138,26 @@
 
     def check(self) -> None:
         """Check what must always hold."""
-        spent = self.used_tokens + sum(r.bound_tokens for r in self.running.values())
-        paid = self.truth.paid_tokens.get(BUDGET, 0)
+        spent = self.used_tokens + sum(r.bound_tokens for r in self.running_requests.values())
+        paid = self.reference_fold.paid_tokens.get(BUDGET, 0)
         if spent > paid:
             raise OverspentError(f"spent up to {spent} of {paid} paid")
-        retired = self.truth.retired_tokens(BUDGET)
+        retired = self.reference_fold.retired_tokens(BUDGET)
         consumed = retired
-        consumed += sum(state.consumed_tokens(BUDGET) for state in self.truth.epochs.values())
-        if consumed > paid or self.truth.ungranted_tokens(BUDGET) != paid - consumed:
-            free = self.truth.ungranted_tokens(BUDGET)
+        consumed += sum(
+            state.consumed_tokens(BUDGET) for state in self.reference_fold.epochs.values()
+        )
+        if consumed > paid or self.reference_fold.ungranted_tokens(BUDGET) != paid - consumed:
+            free = self.reference_fold.ungranted_tokens(BUDGET)
             raise OverspentError(f"{consumed} consumed and {free} free of {paid} paid")
         spent_retired = 0
         for epoch, tokens in self.spent_tokens.items():
-            if epoch not in self.truth.epochs:
+            if epoch not in self.reference_fold.epochs:
                 spent_retired += tokens
                 continue
-            known = self.truth.epochs[epoch].consumed_tokens(BUDGET)
-            if tokens > known:
-                raise OverspentError(f"{tokens} spent in epoch {epoch}, {known} known")
+            consumed_in_epoch = self.reference_fold.epochs[epoch].consumed_tokens(BUDGET)
+            if tokens > consumed_in_epoch:
+                raise OverspentError(f"{tokens} spent in epoch {epoch}, {consumed_in_epoch} known")
         if spent_retired > retired:
             raise OverspentError(f"{spent_retired} spent in old epochs, {retired} known")
 
@@ -158,14 +166,14 @@
             self.read,
             self.append,
             self.tick,
-            self.believe,
+            self.change_membership_view,
             self.reserve,
             self.mirror,
-            self.mirror_again,
+            self.repeat_mirror,
             self.settle,
             self.top_up,
             self.restart,
-            self.give_back,
+            self.return_escrow,
         )
 
     # -- steps -------------------------------------------------------------------------------
@@ -185,7 +193,7 @@
             return
         record = queue[0]
         self.log.append(record)
-        outcome = self.truth.apply(len(self.log), record)
+        outcome = self.reference_fold.apply(len(self.log), record)
         self.counts.epochs += outcome.accepted and record.kind == "epoch_opened"
         self.counts.returned += outcome.accepted and record.kind == "escrow_returned"
         if self.rng.random() > 0.2:
@@ -198,24 +206,24 @@
         process.node.agent.ask(BUDGET)
         process.node.tick({BUDGET: self.paid_tokens})
 
-    def believe(self, name: str) -> None:
+    def change_membership_view(self, name: str) -> None:
         """Believe anything of the others and of the log."""
         process = self.processes[name]
-        place = self.places[name]
-        others = [
-            other.beliefs.local_member
+        data_centre = self.data_centres[name]
+        peers = [
+            other.membership.local_member
             for other_name, other in self.processes.items()
-            if self.places[other_name] == place and other_name != name
+            if self.data_centres[other_name] == data_centre and other_name != name
         ]
-        believed = [member for member in others if self.rng.random() < 0.6]
-        process.beliefs.believed_alive = {member.name: member for member in believed}
+        alive_peers = [member for member in peers if self.rng.random() < 0.6]
+        process.membership.alive_peers = {member.name: member for member in alive_peers}
         process.log_silent_s = self.rng.choice((0.0, 0.0, 2 * UNREACHABLE_AFTER_S))
 
     def reserve(self, name: str) -> None:
         """Reserve in the led epoch, or as a promoted witness."""
         process = self.processes[name]
         # Small ones as well, so that a history spends all that it can reach.
-        bound = self.rng.randint(1, self.rng.choice((4, _MOST_BOUND_TOKENS)))
+        bound = self.rng.randint(1, self.rng.choice((4, _MAX_BOUND_TOKENS)))
         process.node.agent.note_bound(BUDGET, bound)
         self._requests += 1
         request_id = f"request-{self._requests}"
@@ -228,10 +236,10 @@
             return
         state, witness = promoted
         grant = state.grants.get(BUDGET, Grant())
-        taken = witness.reserve_own(request_id, BUDGET, bound, grant=grant)
-        if taken is not None:
+        reservation = witness.reserve_own(request_id, BUDGET, bound, grant=grant)
+        if reservation is not None:
             self.counts.promoted += 1
-            self._dispatch(state, taken)
+            self._dispatch(state, reservation)
 
     def mirror(self, name: str) -> None:
         """Send the next batch to the witness; the request or the answer may be lost."""
@@ -247,39 +255,39 @@
         lost = self.rng.random()
         if lost < 0.1:
             return
-        witness = self._pick(state) or self._witness_of(state)
+        witness = self._pick_false_witness(state) or self._witness_of(state)
         answer = None if witness is None else witness.node.reserver.mirror(batch)
         if answer is None or lost < 0.25:
             return
-        for taken in process.node.reserver.take_answer(account, batch, answer):
-            is_return = taken.request_id.startswith("return/")
-            if not is_return and self.plant is not InjectedFault.SPENDS_UNACKNOWLEDGED:
-                self._dispatch(state, taken)
+        for reservation in process.node.reserver.apply_mirror_answer(account, batch, answer):
+            is_return = reservation.request_id.startswith("return/")
+            if not is_return and self.fault is not InjectedFault.SPENDS_UNACKNOWLEDGED:
+                self._dispatch(state, reservation)
 
-    def mirror_again(self, name: str) -> None:
+    def repeat_mirror(self, name: str) -> None:
         """Deliver a batch that was sent long ago, as a slow network would."""
         process = self.processes[name]
         if not process.old_batches:
             return
         batch = self.rng.choice(process.old_batches)
-        state = self.truth.epochs.get(batch.epoch)
+        state = self.reference_fold.epochs.get(batch.epoch)
         witness = None if state is None else self._witness_of(state)
         if witness is not None:
             witness.node.reserver.mirror(batch)
 
     def settle(self, name: str) -> None:
         """End a running request, and tell a process that may be the wrong one."""
-        if not self.running:
+        if not self.running_requests:
             return
-        request_id = self.rng.choice(list(self.running))
-        running = self.running[request_id]
+        request_id = self.rng.choice(list(self.running_requests))
+        running = self.running_requests[request_id]
         used = self.rng.randint(0, running.bound_tokens)
         process = self.processes[name]
         if not process.node.reserver.settle(running.ticket, used, request_id):
             return
-        if self.plant is InjectedFault.SETTLES_TWICE:
+        if self.fault is InjectedFault.SETTLES_TWICE:
             self._settle_twice(process, running, used)
-        self._end(request_id, used)
+        self._finish_request(request_id, used)
 
     def top_up(self, _name: str) -> None:
         """Pay for more."""
@@ -291,11 +299,11 @@
         if self.rng.random() < 0.5:
             return
         self.counts.restarts += 1
-        if self.plant is not InjectedFault.RESTART_KEEPS_IDENTITY:
+        if self.fault is not InjectedFault.RESTART_KEEPS_IDENTITY:
             self._incarnations[name] += 1
         self.processes[name] = self._start(name, self._incarnations[name])
 
-    def give_back(self, name: str) -> None:
+    def return_escrow(self, name: str) -> None:
         """Return some escrow, as for another data centre."""
         lane = self.rng.choice((Lane.WITNESSED, Lane.WITNESSED, Lane.OWN))
         tokens = self.rng.randint(1, 20)
@@ -311,9 +319,9 @@
         OverspentError
             If a check fails.
         """
-        for request_id, running in list(self.running.items()):
-            self._end(request_id, running.bound_tokens)
-        alive = {name: process.beliefs.local_member for name, process in self.processes.items()}
+        for request_id, running in list(self.running_requests.items()):
+            self._finish_request(request_id, running.bound_tokens)
+        alive = {name: process.membership.local_member for name, process in self.processes.items()}
         for _ in range(_EXHAUST_ROUNDS):
             for name, process in self.processes.items():
                 self._catch_up(name, process, alive)
@@ -321,9 +329,11 @@
                 self.check()
 
     def _catch_up(self, name: str, process: Process, alive: dict[str, Member]) -> None:
-        place = self.places[name]
-        process.beliefs.believed_alive = {
-            n: member for n, member in alive.items() if self.places[n] == place and n != name
+        data_centre = self.data_centres[name]
+        process.membership.alive_peers = {
+            n: member
+            for n, member in alive.items()
+            if self.data_centres[n] == data_centre and n != name
         }
         process.log_silent_s = 0.0
         while process.read_offset < len(self.log):
@@ -344,43 +354,43 @@
         for lane in Lane:
             while account.free_tokens(BUDGET, grant, lane) > 0:
                 self._requests += 1
-                bound = min(account.free_tokens(BUDGET, grant, lane), _MOST_BOUND_TOKENS)
-                taken = account.reserve(
+                bound = min(account.free_tokens(BUDGET, grant, lane), _MAX_BOUND_TOKENS)
+                reservation = account.reserve(
                     f"request-{self._requests}", BUDGET, bound, grant=grant, lane=lane
                 )
-                if taken is not None and lane is Lane.OWN:
-                    self._dispatch(state, taken)
+                if reservation is not None and lane is Lane.OWN:
+                    self._dispatch(state, reservation)
         for _ in range(3):
             self.mirror(name)
 
     # -- helpers -----------------------------------------------------------------------------
 
     def _start(self, name: str, incarnation: int) -> Process:
-        me = Member(name, f"{name}:{incarnation}", f"{name}:0")
-        beliefs = FakeMembership(me, self.places[name])
+        local_member = Member(name, f"{name}:{incarnation}", f"{name}:0")
+        membership = FakeMembership(local_member, self.data_centres[name])
         clock = FakeClock()
-        writer: FakeWriter[LedgerRecord] = FakeWriter(me.incarnation)
+        writer: FakeWriter[LedgerRecord] = FakeWriter(local_member.incarnation)
         process: Process
 
         def silent_s() -> float:
             return process.log_silent_s
 
         context = ShardContext(
-            membership=beliefs,
+            membership=membership,
             calls=NoPeers(),
             clock=clock,
             timing=TimingSection.model_validate({}),
             config=lambda: self.config,
-            log_silent_s=silent_s,
-            data_centres=lambda: len(PLACES),
+            log_unreachable_s=silent_s,
+            data_centre_count=lambda: len(DATA_CENTRES),
         )
-        node = ShardNode(SHARD, writer, context, _no_bill)  # type: ignore[arg-type]
+        node = ShardNode(SHARD, writer, context, _ignore_bill)  # type: ignore[arg-type]
         node.state.fold = self._make_fold()
-        process = Process(node, writer, beliefs, clock)
+        process = Process(node, writer, membership, clock)
         return process
 
     def _make_fold(self) -> LedgerFold:
-        return FAULTY_FOLDS.get(self.plant, LedgerFold)(SHARD)
+        return FAULTY_FOLDS.get(self.fault, LedgerFold)(SHARD)
 
     def _reserve_leading(
         self,
@@ -394,24 +404,26 @@
         lane = account.main_lane
         if account.has_witness and self.rng.random() < 0.15:
             lane = Lane.OWN
-        taken = account.reserve(request_id, BUDGET, bound, grant=grant, lane=lane)
-        if taken is None:
+        reservation = account.reserve(request_id, BUDGET, bound, grant=grant, lane=lane)
+        if reservation is None:
             process.node.state.needed_tokens[BUDGET] = bound
             return
         process.node.state.needed_tokens[BUDGET] = 0
-        if lane is Lane.OWN or self.plant is InjectedFault.SPENDS_UNACKNOWLEDGED:
+        if lane is Lane.OWN or self.fault is InjectedFault.SPENDS_UNACKNOWLEDGED:
             self.counts.allowance += account.has_witness
-            self._dispatch(state, taken)
+            self._dispatch(state, reservation)
 
-    def _dispatch(self, state: EpochState, taken: Reservation) -> None:
+    def _dispatch(self, state: EpochState, reservation: Reservation) -> None:
         self.counts.dispatched += 1
-        ticket = Ticket(SHARD, state.epoch, taken.number, "", "")
-        self.running[taken.request_id] = Running(ticket, taken.bound_tokens)
+        ticket = Ticket(SHARD, state.epoch, reservation.number, "", "")
+        self.running_requests[reservation.request_id] = RunningRequest(
+            ticket, reservation.bound_tokens
+        )
         spent = self.spent_tokens.get(state.epoch, 0)
-        self.spent_tokens[state.epoch] = spent + taken.bound_tokens
+        self.spent_tokens[state.epoch] = spent + reservation.bound_tokens
 
-    def _end(self, request_id: str, used_tokens: int) -> None:
-        running = self.running.pop(request_id)
+    def _finish_request(self, request_id: str, used_tokens: int) -> None:
+        running = self.running_requests.pop(request_id)
         self.used_tokens += used_tokens
         self.spent_tokens[running.ticket.epoch] += used_tokens - running.bound_tokens
 
@@ -421,21 +433,21 @@
         process = self.processes[state.witness.name]
         return process if state.epoch in process.node.state.witnesses else None
 
-    def _pick(self, state: EpochState) -> Process | None:
+    def _pick_false_witness(self, state: EpochState) -> Process | None:
         """`Plant.HOLDER_PICKS_WITNESS`: another process, which takes itself for the witness."""
-        if self.plant is not InjectedFault.HOLDER_PICKS_WITNESS or self.rng.random() < 0.7:
+        if self.fault is not InjectedFault.HOLDER_PICKS_WITNESS or self.rng.random() < 0.7:
             return None
         assert state.witness is not None
         for name, process in self.processes.items():
-            here = self.places[name] == state.data_centre
-            if here and name not in (state.holder.name, state.witness.name):
+            is_local = self.data_centres[name] == state.data_centre
+            if is_local and name not in (state.holder.name, state.witness.name):
                 witnesses = process.node.state.witnesses
                 if state.epoch in process.node.state.fold.epochs:
                     witnesses.setdefault(state.epoch, UncheckedWitness(state.epoch))
                     return process
         return None
 
-    def _settle_twice(self, process: Process, running: Running, used: int) -> None:
+    def _settle_twice(self, process: Process, running: RunningRequest, used: int) -> None:
         account = process.node.state.holders.get(running.ticket.epoch)
         if account is not None:
             lane = account.main_lane
@@ -448,5 +460,5 @@
 _WEIGHTS = (35, 35, 15, 3, 60, 30, 3, 25, 1, 0.5, 1)
 
 
-def _no_bill(_line: BillLine) -> None:
+def _ignore_bill(_line: BillLine) -> None:
     """Take a bill and forget it."""
--- a/mothstand/testing/injected_faults.py
+++ b/mothstand/testing/injected_faults.py
@@ -49,7 +49,7 @@
     def _grant_ask(self, state: EpochState, ask) -> None:  # type: ignore[no-untyped-def]
         super()._grant_ask(state, ask)
         grant = state.grants[ask.budget]
-        state.grants[ask.budget] = _copy_grant(grant, _ForgetsPromotion)
+        state.grants[ask.budget] = _copy_grant(grant, _GrantWithoutPromotion)
 
 
 class _AllowanceFold(LedgerFold):
@@ -58,26 +58,26 @@
     def _grant_ask(self, state: EpochState, ask) -> None:  # type: ignore[no-untyped-def]
         super()._grant_ask(state, ask)
         grant = state.grants[ask.budget]
-        state.grants[ask.budget] = _copy_grant(grant, _ForgetsAllowance)
+        state.grants[ask.budget] = _copy_grant(grant, _GrantWithoutAllowance)
 
 
-class _ForgetsPromotion(Grant):
+class _GrantWithoutPromotion(Grant):
     def consumed_tokens(self, *, holder_closed: bool, witness_closed: bool) -> int:
-        kept, self.promotion_tokens = self.promotion_tokens, 0
+        allowance_tokens, self.promotion_tokens = self.promotion_tokens, 0
         consumed = super().consumed_tokens(
             holder_closed=holder_closed, witness_closed=witness_closed
         )
-        self.promotion_tokens = kept
+        self.promotion_tokens = allowance_tokens
         return consumed
 
 
-class _ForgetsAllowance(Grant):
+class _GrantWithoutAllowance(Grant):
     def consumed_tokens(self, *, holder_closed: bool, witness_closed: bool) -> int:
-        kept, self.allowance_tokens = self.allowance_tokens, 0
+        allowance_tokens, self.allowance_tokens = self.allowance_tokens, 0
         consumed = super().consumed_tokens(
             holder_closed=holder_closed, witness_closed=witness_closed
         )
-        self.allowance_tokens = kept
+        self.allowance_tokens = allowance_tokens
         return consumed
 
 
--- a/mothstand/testing/load.py
+++ b/mothstand/testing/load.py
@@ -25,7 +25,7 @@
 class CallOutcome(Enum):
     """What a caller got."""
 
-    WHOLE = "whole"
+    COMPLETE = "whole"
     REFUSED = "refused"
     BROKEN = "broken"
     LOST = "lost"
@@ -86,7 +86,7 @@
     records: list[CallRecord] = field(default_factory=list)
     _stop: threading.Event = field(default_factory=threading.Event)
     _thread: threading.Thread | None = None
-    _numbers: Any = field(default_factory=itertools.count)
+    _prompt_numbers: Any = field(default_factory=itertools.count)
 
     def __enter__(self) -> Load:
         """Start the callers."""
@@ -100,9 +100,9 @@
         assert self._thread is not None
         self._thread.join()
 
-    def count(self, got: CallOutcome) -> int:
+    def count(self, outcome: CallOutcome) -> int:
         """Return how many callers' requests ended so."""
-        return sum(record.outcome is got for record in self.records)
+        return sum(record.outcome is outcome for record in self.records)
 
     async def _run(self) -> None:
         limits = httpx.Limits(max_keepalive_connections=0)
@@ -117,7 +117,7 @@
             await asyncio.sleep(self.pause_s)
 
     async def _call(self, client: httpx.AsyncClient, url: str) -> CallRecord:
-        prompt = f"{self.name} entry {next(self._numbers)}"
+        prompt = f"{self.name} entry {next(self._prompt_numbers)}"
         body = {
             "model": MODEL,
             "messages": [{"role": "user", "content": prompt}],
@@ -154,7 +154,7 @@
     if not stream:
         value = json.loads(text)
         return {
-            "got": CallOutcome.WHOLE,
+            "got": CallOutcome.COMPLETE,
             "text": value["choices"][0]["message"]["content"],
             "usage_tokens": value["usage"]["total_tokens"],
         }
@@ -169,5 +169,5 @@
             return {"got": CallOutcome.BROKEN, "text": "".join(pieces)}
         pieces.extend(choice["delta"].get("content", "") for choice in value["choices"])
         usage_tokens = value["usage"]["total_tokens"] if value.get("usage") else usage_tokens
-    got = CallOutcome.WHOLE if events and events[-1] == "[DONE]" else CallOutcome.LOST
-    return {"got": got, "text": "".join(pieces), "usage_tokens": usage_tokens}
+    outcome = CallOutcome.COMPLETE if events and events[-1] == "[DONE]" else CallOutcome.LOST
+    return {"got": outcome, "text": "".join(pieces), "usage_tokens": usage_tokens}
--- a/mothstand/testing/memory_store.py
+++ b/mothstand/testing/memory_store.py
@@ -26,7 +26,7 @@
 
 
 #: Seconds until the store's client gives up a call that got no connection.
-STORE_CONNECT_S: float = StoreSection.model_fields["connect_timeout_s"].default
+STORE_CONNECT_TIMEOUT_S: float = StoreSection.model_fields["connect_timeout_s"].default
 
 
 class StoreCallOutcome(Enum):
@@ -49,17 +49,17 @@
 class MemoryStore:
     """The records of all streams."""
 
-    conditional: bool = True
+    is_conditional: bool = True
     _records: dict[Stream, list[KeyedRecord]] = field(default_factory=lambda: defaultdict(list))
-    _first: dict[Stream, int] = field(default_factory=lambda: defaultdict(int))
-    _late: list[_LateAppend] = field(default_factory=list)
+    _first_offsets: dict[Stream, int] = field(default_factory=lambda: defaultdict(int))
+    _late_appends: list[_LateAppend] = field(default_factory=list)
 
     def append(
         self, stream: Stream, records: tuple[KeyedRecord, ...], at_offset: int | None
     ) -> bool:
         """Append, with an offset only if the stream ends there, and return whether it did."""
         stored = self._records[stream]
-        if self.conditional and at_offset is not None and len(stored) != at_offset:
+        if self.is_conditional and at_offset is not None and len(stored) != at_offset:
             return False
         for record in records:
             stored.append(KeyedRecord(record.key, record.value, len(stored)))
@@ -73,17 +73,17 @@
         self, stream: Stream, records: tuple[KeyedRecord, ...], at_offset: int | None
     ) -> None:
         """Keep an append for later."""
-        self._late.append(_LateAppend(stream, records, at_offset))
+        self._late_appends.append(_LateAppend(stream, records, at_offset))
 
     def deliver_late(self) -> None:
         """Do the appends that were delayed."""
-        late, self._late = self._late, []
+        late, self._late_appends = self._late_appends, []
         for append in late:
             self.append(append.stream, append.records, append.at_offset)
 
-    def drop_history(self, stream: Stream) -> None:
+    def compact(self, stream: Stream) -> None:
         """Keep only the newest record of each key; reads that start before now fail from now on."""
-        self._first[stream] = len(self._records[stream])
+        self._first_offsets[stream] = len(self._records[stream])
 
     def read(self, stream: Stream, from_offset: int) -> StreamPage:
         """Return the records from an offset on.
@@ -93,7 +93,7 @@
         StoreTrimmedError
             If some of them are no longer kept.
         """
-        if from_offset < self._first[stream]:
+        if from_offset < self._first_offsets[stream]:
             raise StoreTrimmedError(f"{stream}: {from_offset} is not kept")
         stored = self._records[stream]
         return StreamPage(tuple(stored[from_offset:]), max(from_offset, len(stored)))
@@ -102,8 +102,8 @@
         """Return the newest record of each key."""
         stored = self._records[stream]
         by_key = {record.key: record for record in stored}
-        kept = (record for record in by_key.values() if record.value is not None)
-        return StreamPage(tuple(kept), len(stored))
+        live_records = (record for record in by_key.values() if record.value is not None)
+        return StreamPage(tuple(live_records), len(stored))
 
 
 class StoreLink(Store):
@@ -121,54 +121,54 @@
     def __init__(
         self,
         store: MemoryStore,
-        fate: Callable[[], StoreCallOutcome] = lambda: StoreCallOutcome.ANSWERED,
-        gives_up_after_s: float = 0.0,
+        decide_outcome: Callable[[], StoreCallOutcome] = lambda: StoreCallOutcome.ANSWERED,
+        read_timeout_s: float = 0.0,
     ) -> None:
-        self.is_cut = False
-        self._gives_up_after_s = gives_up_after_s
+        self.is_cut_off = False
+        self._read_timeout_s = read_timeout_s
         self._store = store
-        self._fate = fate
+        self._decide_outcome = decide_outcome
 
     async def append(
         self, stream: Stream, records: tuple[KeyedRecord, ...], *, at_offset: int | None = None
     ) -> None:
         """Append all records or none; with an offset, only if the stream ends there."""
-        fate = StoreCallOutcome.LOST if self.is_cut else self._fate()
-        if fate is StoreCallOutcome.LATE:
+        outcome = StoreCallOutcome.LOST if self.is_cut_off else self._decide_outcome()
+        if outcome is StoreCallOutcome.LATE:
             self._store.delay(stream, records, at_offset)
-        if fate in (StoreCallOutcome.LOST, StoreCallOutcome.LATE):
-            raise StoreSilentError(fate.value)
+        if outcome in (StoreCallOutcome.LOST, StoreCallOutcome.LATE):
+            raise StoreSilentError(outcome.value)
         done = self._store.append(stream, records, at_offset)
-        if fate is StoreCallOutcome.UNANSWERED:
-            raise StoreSilentError(fate.value)
+        if outcome is StoreCallOutcome.UNANSWERED:
+            raise StoreSilentError(outcome.value)
         if not done:
             raise StoreConflictError(f"does not end at {at_offset}")
 
     async def read(self, stream: Stream, from_offset: int, *, wait_s: float = 0.0) -> StreamPage:
         """Return records from an offset on."""
-        await self._reach()
+        await self._require_reachable()
         return self._store.read(stream, from_offset)
 
     async def newest(self, stream: Stream) -> StreamPage:
         """Return the newest record of each key."""
-        await self._reach()
+        await self._require_reachable()
         return self._store.newest(stream)
 
     async def aclose(self) -> None:
         """Close nothing."""
 
-    async def _reach(self) -> None:
-        if self.is_cut:
-            if self._gives_up_after_s:
-                await anyio.sleep(self._gives_up_after_s)
+    async def _require_reachable(self) -> None:
+        if self.is_cut_off:
+            if self._read_timeout_s:
+                await anyio.sleep(self._read_timeout_s)
             raise StoreSilentError("cut off")
 
 
-def random_fate(rng: random.Random, *, failing: float) -> Callable[[], StoreCallOutcome]:
+def random_outcomes(rng: random.Random, *, failing_share: float) -> Callable[[], StoreCallOutcome]:
     """Return a decision that lets a part of the appends fail in each way alike."""
 
     def decide() -> StoreCallOutcome:
-        if rng.random() >= failing:
+        if rng.random() >= failing_share:
             return StoreCallOutcome.ANSWERED
         return rng.choice(
             [StoreCallOutcome.LOST, StoreCallOutcome.UNANSWERED, StoreCallOutcome.LATE]
--- a/mothstand/testing/retry_faults.py
+++ b/mothstand/testing/retry_faults.py
@@ -19,14 +19,14 @@
     """What is wrong with an instance."""
 
     NONE = "none"
-    OWN_WINDOW = "requests pay in the window before each retry"
+    COUNTS_ONE_WINDOW = "requests pay in the window before each retry"
     FORGETS_RETRIES = "a start has its part of the burst at once"
-    BELIEVES_FLEET = "the burst is divided by the fleet's size as it is believed"
-    TAKES_AT_ONCE = "a newcomer uses its part before the others know of it"
+    DIVIDES_BY_FLEET_SIZE = "the burst is divided by the fleet's size as it is believed"
+    USES_SHARE_AT_ONCE = "a newcomer uses its part before the others know of it"
     IGNORES_STALLS = "a request counts as sent when it is read"
 
 
-class _OwnWindowBudget(RetryBudget):
+class _OneWindowBudget(RetryBudget):
     """Counts in the window before each retry only."""
 
     def _decide(self, now_s: float, sharers: int) -> RetryDecision:
@@ -54,29 +54,31 @@
 
 _SHARES: dict[InjectedFault, type[BurstShares]] = {
     InjectedFault.FORGETS_RETRIES: _ForgetfulShares,
-    InjectedFault.TAKES_AT_ONCE: _HastyShares,
+    InjectedFault.USES_SHARE_AT_ONCE: _HastyShares,
 }
 
 
-def budget_of(plant: InjectedFault, settings: RetryBudgetSettings) -> RetryBudget:
+def make_budget(fault: InjectedFault, settings: RetryBudgetSettings) -> RetryBudget:
     """Return a retry budget, with a fault if the plant is one of it."""
-    return (_OwnWindowBudget if plant is InjectedFault.OWN_WINDOW else RetryBudget)(settings)
+    return (_OneWindowBudget if fault is InjectedFault.COUNTS_ONE_WINDOW else RetryBudget)(settings)
 
 
-def plant_shares(plant: InjectedFault, members: MemberFeed) -> None:
+def inject_shares(fault: InjectedFault, members: MemberFeed) -> None:
     """Put shares with a fault into a feed that has not begun, if the plant is one of them."""
-    right = members.burst_shares
-    wrong = _SHARES.get(plant, BurstShares)
-    members.burst_shares = wrong(right.name, right.incarnation, right.span_s, right.started_s)
+    correct = members.burst_shares
+    shares_type = _SHARES.get(fault, BurstShares)
+    members.burst_shares = shares_type(
+        correct.name, correct.incarnation, correct.span_s, correct.started_s
+    )
 
 
-def sharers_of(plant: InjectedFault, members: MemberFeed, now_s: float) -> int:
+def count_sharers(fault: InjectedFault, members: MemberFeed, now_s: float) -> int:
     """Return by how many an instance divides the burst."""
-    if plant is InjectedFault.BELIEVES_FLEET:
+    if fault is InjectedFault.DIVIDES_BY_FLEET_SIZE:
         return members.fleet.size
     return members.burst_shares.sharers(now_s)
 
 
-def sent_since_s(plant: InjectedFault, stalls: StallDetector, now_s: float) -> float:
+def earliest_send_s(fault: InjectedFault, stalls: StallDetector, now_s: float) -> float:
     """Return the earliest time at which a request that is read now may have been sent."""
-    return now_s if plant is InjectedFault.IGNORES_STALLS else stalls.earliest_send_s(now_s)
+    return now_s if fault is InjectedFault.IGNORES_STALLS else stalls.earliest_send_s(now_s)
--- a/mothstand/tests/conftest.py
+++ b/mothstand/tests/conftest.py
@@ -42,7 +42,7 @@
 
 
 @pytest.fixture(autouse=True)
-def _same_chance() -> None:
+def _seed_random() -> None:
     """Seed the jitter of the code under test, so that a play in virtual time repeats exactly.
 
     Of one seed of the recovery's model .23 to .27 was served, and .25 is asked: it passed and
--- a/mothstand/tests/test_bootstrap.py
+++ b/mothstand/tests/test_bootstrap.py
@@ -25,7 +25,7 @@
     decode_config,
     decode_upstream,
 )
-from ..testing.fakes import RETRIES, NoWitness, SilentPeers
+from ..testing.fakes import RETRIES, NoWitness, UnreachablePeers
 from ..testing.memory_store import MemoryStore, StoreLink
 from ..testing.registrations import registration
 from ..testing.virtual_time import VirtualClock, run_in_virtual_time
@@ -50,7 +50,7 @@
     )
 
 
-class _FakePeers(SilentPeers):
+class _FakePeers(UnreachablePeers):
     """Peers by address; who is not there does not answer."""
 
     def __init__(self, states: dict[str, BootstrapState]) -> None:
@@ -71,7 +71,7 @@
         clock = VirtualClock()
         health = PlatformHealth(clock)
         self.link = StoreLink(MemoryStore())
-        self.link.is_cut = True
+        self.link.is_cut_off = True
         self.peers = _FakePeers(peers)
         self.config = ConfigFeed(
             self.link, CONFIG_STREAM, CONFIG_KEY, clock, health, decode_config, lambda _: None
@@ -144,10 +144,8 @@
         Cause: the peer's word replaced the store's.
         """
         starting = _StartingInstance({}, ())
-        starting.config.apply_second_hand(
-            KeyedRecord(CONFIG_KEY, json.dumps({"version": 9}).encode())
-        )
-        starting.config.apply_second_hand(KeyedRecord("", bootstrap_state(7).config))
+        starting.config.apply_record(KeyedRecord(CONFIG_KEY, json.dumps({"version": 9}).encode()))
+        starting.config.apply_record(KeyedRecord("", bootstrap_state(7).config))
         assert starting.config.config is not None
         assert starting.config.config.version == 9
 
@@ -159,7 +157,7 @@
         Cause: what peers tell was taken whether or not the store had spoken.
         """
         starting = _StartingInstance({}, ())
-        starting.link.is_cut = False
+        starting.link.is_cut_off = False
 
         async def run() -> None:
             await starting.members.poll()
--- a/mothstand/tests/test_checker.py
+++ b/mothstand/tests/test_checker.py
@@ -14,7 +14,7 @@
 
 LUND = BudgetName("lund")
 ANSWER = "".join(answer_tokens("entry 1", 4))
-CALL = CallRecord("entry 1", CallOutcome.WHOLE, 0.1, 0.0, 4, "lund/1", ANSWER, 6)
+CALL = CallRecord("entry 1", CallOutcome.COMPLETE, 0.1, 0.0, 4, "lund/1", ANSWER, 6)
 REFUSED = CallRecord(
     "entry 2", CallOutcome.REFUSED, 0.1, 0.0, 4, run_state="not run", kind="overloaded"
 )
@@ -24,7 +24,7 @@
 
 
 class TestChecker:
-    def test_clean_history(self) -> None:
+    def test_clean_history_has_no_violation(self) -> None:
         assert find_violations(CLEAN) == []
 
     @pytest.mark.parametrize(
@@ -48,5 +48,5 @@
             ),
         ],
     )
-    def test_planted_violation(self, history: RunHistory, said: str) -> None:
+    def test_violation_is_found(self, history: RunHistory, said: str) -> None:
         assert any(said in sentence for sentence in find_violations(history))
--- a/mothstand/tests/test_claim_histories.py
+++ b/mothstand/tests/test_claim_histories.py
@@ -12,7 +12,7 @@
 from ..testing.claim_histories import ClaimHistory, InjectedFault, OverspentError
 
 _CLEAN_SEEDS = 60
-_MOST_SEEDS = 400
+_MAX_SEEDS = 400
 _STEPS = 1200
 
 #: 2706: a renewal without the window that covers what was used in an outage.
@@ -20,7 +20,7 @@
 _FAILED_SEEDS = (2706, 1175)
 
 #: Requests that a history serves on average, at least; 84 were counted over sixty of them.
-_LEAST_SERVED = 60
+_MIN_SERVED = 60
 
 
 @pytest.fixture(autouse=True)
@@ -29,10 +29,10 @@
 
 
 def run_one(
-    seed: int, plant: InjectedFault = InjectedFault.NONE, *, hands_over: bool = False
+    seed: int, fault: InjectedFault = InjectedFault.NONE, *, has_handovers: bool = False
 ) -> Counter[str]:
     """Run one history from its seed."""
-    history = ClaimHistory(random.Random(seed), plant, hands_over=hands_over)
+    history = ClaimHistory(random.Random(seed), fault, has_handovers=has_handovers)
     anyio.run(history.run, _STEPS)
     return history.counts
 
@@ -50,27 +50,27 @@
         # The histories are worth something only if they reach the rare states.
         for rare in ("unlocked", "opened", "silent", "lent", "repeated", "reclaimed", "all killed"):
             assert counts[rare] > 20, (rare, counts)
-        assert counts["served"] > _LEAST_SERVED * _CLEAN_SEEDS
+        assert counts["served"] > _MIN_SERVED * _CLEAN_SEEDS
 
-    def test_nothing_is_overspent_where_tokens_are_left_to_others(self) -> None:
+    def test_nothing_is_overspent_with_handovers(self) -> None:
         """Symptom, sequence and cause: see above; also handovers, some of which are lost."""
         counts: Counter[str] = Counter()
         for seed in range(_CLEAN_SEEDS):
-            counts += run_one(seed, hands_over=True)
+            counts += run_one(seed, has_handovers=True)
         for rare in ("unlocked", "handed over", "lent", "reclaimed", "all killed"):
             assert counts[rare] > 20, (rare, counts)
 
     @pytest.mark.parametrize("seed", _FAILED_SEEDS)
-    def test_seeds_that_failed(self, seed: int) -> None:
+    def test_nothing_is_overspent_for_seeds_that_failed(self, seed: int) -> None:
         run_one(seed)
 
     @pytest.mark.parametrize(
         "plant", [plant for plant in InjectedFault if plant is not InjectedFault.NONE]
     )
-    def test_planted_faults_are_found(self, plant: InjectedFault) -> None:
-        for seed in range(_MOST_SEEDS):
+    def test_injected_fault_is_found(self, plant: InjectedFault) -> None:
+        for seed in range(_MAX_SEEDS):
             try:
-                run_one(seed, plant, hands_over=plant is InjectedFault.HANDOVER_AGAIN)
+                run_one(seed, plant, has_handovers=plant is InjectedFault.REPEATS_HANDOVER)
             except OverspentError:
                 return
-        pytest.fail(f"{plant} not found in {_MOST_SEEDS} histories")
+        pytest.fail(f"{plant} not found in {_MAX_SEEDS} histories")
--- a/mothstand/tests/test_crashing_request.py
+++ b/mothstand/tests/test_crashing_request.py
@@ -15,7 +15,9 @@
 
 class TestCrashingRequest:
     @pytest.mark.parametrize("seed", [1, 2])
-    def test_is_kept_from_upstreams_at_all_instances(self, tmp_path: Path, seed: int) -> None:
+    def test_crashing_request_is_quarantined_at_all_instances(
+        self, tmp_path: Path, seed: int
+    ) -> None:
         # Guards against a request that ends upstream after upstream, sent again to other instances.
         with GatewayFleet(tmp_path) as fleet:
             crash_fleet = CrashFleet(fleet, seed)
--- a/mothstand/tests/test_data_centres.py
+++ b/mothstand/tests/test_data_centres.py
@@ -25,14 +25,14 @@
 
 
 @pytest.fixture
-def places(empty_fleet: Fleet, tmp_path: Path) -> Fleet:
+def fleet(empty_fleet: Fleet, tmp_path: Path) -> Fleet:
     """Return two data centres with two instances, an engine and a service each."""
     fleet = empty_fleet
-    for place in ("a", "b"):
-        fleet.start_engine(f"llm-{place}", f"sto-{place}")
-        fleet.start_service(f"renewer-{place}", f"sto-{place}")
+    for site in ("a", "b"):
+        fleet.start_engine(f"llm-{site}", f"sto-{site}")
+        fleet.start_service(f"renewer-{site}", f"sto-{site}")
     for name in INSTANCES:
-        fleet.start_instance(name, name[:5], listed=False)
+        fleet.start_instance(name, name[:5], is_listed=False)
     fleet.publish_list()
     folder = write_folder(tmp_path / "folder", fleet, paid_tokens={"lund": 20_000})
     assert fleet.publish(folder).returncode == 0
@@ -57,8 +57,8 @@
 
 
 class TestCuts:
-    def test_cut_data_centre_and_the_rest_spend_one_budget(
-        self, places: Fleet, tmp_path: Path
+    def test_budget_is_not_overspent_across_a_platform_cut(
+        self, fleet: Fleet, tmp_path: Path
     ) -> None:
         """Symptom: a data centre that is cut off and the others spend the same tokens.
 
@@ -66,89 +66,85 @@
         tops up, the budget runs dry on both sides, the cut ends.
         Cause it guards against: a grant that a cut data centre still spends being given to others.
         """
-        with Load(urls(places, *INSTANCES), callers=8, pause_s=0.005, max_tokens=16) as load:
+        with Load(urls(fleet, *INSTANCES), callers=8, pause_s=0.005, max_tokens=16) as load:
             time.sleep(1.0)
-            places.set_faults("platform", mode="down", callers=["sto-a-1", "sto-a-2"])
+            fleet.set_faults("platform", mode="down", callers=["sto-a-1", "sto-a-2"])
             time.sleep(2.0)
-            folder = write_folder(tmp_path / "folder", places, paid_tokens={"lund": 24_000})
+            folder = write_folder(tmp_path / "folder", fleet, paid_tokens={"lund": 24_000})
             # Cut off from the platform only, it gets the configuration from its peers elsewhere.
-            assert places.publish(folder).returncode == 0
+            assert fleet.publish(folder).returncode == 0
             wait_until(lambda: load.count(CallOutcome.REFUSED) > 30, "the budget runs dry", 60.0)
-            places.set_faults("platform", mode="ok")
+            fleet.set_faults("platform", mode="ok")
             time.sleep(3.0)
-        view = check_history(places, load, paid_tokens=24_000)
+        view = check_history(fleet, load, paid_tokens=24_000)
         assert all(fold.ungranted_tokens(LUND) >= 0 for fold in view.ledgers.values())
         kinds = {record.kind for record in load.records if record.outcome is CallOutcome.REFUSED}
         assert kinds <= {"budget_exhausted", "budget_reserved", "budget_out_of_reach"}
 
-    def test_leaseholder_dies_inside_a_cut(self, places: Fleet) -> None:
+    def test_witness_serves_when_leaseholder_dies_in_a_platform_cut(self, fleet: Fleet) -> None:
         """Symptom: a cut data centre serves nobody after one of its two instances has died.
 
         Sequence: cut from the platform, kill of the leaseholder, its witness promotes itself.
         Cause it guards against: a takeover that only the log can bring about.
         """
-        holder, witness = holder_of(places, LUND, DataCentre("sto-a"))
-        places.set_faults("platform", mode="down", callers=["sto-a-1", "sto-a-2"])
+        holder, witness = holder_of(fleet, LUND, DataCentre("sto-a"))
+        fleet.set_faults("platform", mode="down", callers=["sto-a-1", "sto-a-2"])
         time.sleep(2.5)
-        places.processes[holder].kill()
+        fleet.processes[holder].kill()
         wait_until(
-            lambda: (
-                chat(places.processes[witness].url, prompt="x", max_tokens=2).status_code == 200
-            ),
+            lambda: chat(fleet.processes[witness].url, prompt="x", max_tokens=2).status_code == 200,
             "the witness serves",
         )
         # More than the witness may spend alone: the other data centre's leaseholder reserves it.
-        large = chat(places.processes[witness].url, prompt="x", max_tokens=6_000)
+        large = chat(fleet.processes[witness].url, prompt="x", max_tokens=6_000)
         assert large.status_code == 200, large.text
-        places.set_faults("platform", mode="ok")
+        fleet.set_faults("platform", mode="ok")
         time.sleep(2.0)
-        answer = chat(places.processes[witness].url)
+        answer = chat(fleet.processes[witness].url)
         assert answer.status_code == 200, answer.text
 
 
 class TestOverflow:
-    def test_next_data_centre_takes_what_is_too_much_here(
-        self, places: Fleet, tmp_path: Path
-    ) -> None:
+    def test_overflow_goes_to_the_next_data_centre(self, fleet: Fleet, tmp_path: Path) -> None:
         """Symptom: students are refused while the next data centre's engines idle.
 
         Sequence: more callers at once in one data centre than its engine has slots.
         Cause: engines elsewhere were used only when there was none here.
         """
-        folder = write_folder(tmp_path / "folder", places, slots=2)
-        assert places.publish(folder).returncode == 0
+        folder = write_folder(tmp_path / "folder", fleet, slots=2)
+        assert fleet.publish(folder).returncode == 0
         # Slow enough that all requests are there at once.
-        places.set_faults("llm-a", mode="ok", token_delay_s=0.1)
-        places.set_faults("llm-b", mode="ok", token_delay_s=0.02)
-        with Load(urls(places, "sto-a-1"), callers=4, max_tokens=16, stream_share=1.0) as load:
+        fleet.set_faults("llm-a", mode="ok", token_delay_s=0.1)
+        fleet.set_faults("llm-b", mode="ok", token_delay_s=0.02)
+        with Load(urls(fleet, "sto-a-1"), callers=4, max_tokens=16, stream_share=1.0) as load:
             time.sleep(4.0)
-        served_elsewhere = {entry["request_id"] for entry in places.journal("llm-b")}
-        whole = [record for record in load.records if record.outcome is CallOutcome.WHOLE]
+        served_elsewhere = {entry["request_id"] for entry in fleet.journal("llm-b")}
+        whole = [record for record in load.records if record.outcome is CallOutcome.COMPLETE]
         assert any(f"{record.request_id}/1" in served_elsewhere for record in whole)
         assert any(f"{record.request_id}/1" not in served_elsewhere for record in whole)
-        check_history(places, load, paid_tokens=20_000)
+        check_history(fleet, load, paid_tokens=20_000)
 
 
 class TestAtMostOnce:
-    def test_retry_in_another_data_centre_does_not_renew_again(self, places: Fleet) -> None:
+    def test_retry_in_another_data_centre_does_not_renew_again(self, fleet: Fleet) -> None:
         first = call_service(
-            places.processes["sto-a-1"].url, "renew", body="p1", idempotency_key="p1"
+            fleet.processes["sto-a-1"].url, "renew", body="p1", idempotency_key="p1"
         )
         again = call_service(
-            places.processes["sto-b-1"].url, "renew", body="p1", idempotency_key="p1"
+            fleet.processes["sto-b-1"].url, "renew", body="p1", idempotency_key="p1"
         )
         assert first.status_code == 200
         assert again.status_code in (200, 409, 410)
-        assert effects(places, "p1") == 1
+        assert effects(fleet, "p1") == 1
 
-    def test_router_paused_with_a_renewal(self, places: Fleet) -> None:
+    def test_call_of_a_paused_instance_does_not_run_again(self, fleet: Fleet) -> None:
         """Symptom: a pass is renewed twice.
 
         Sequence: a router claims a renewal and is stopped, the clerk retries in the other data
         centre, the router goes on.
         Cause it guards against: a claim that lapses with the patience of others.
         """
-        paused = places.processes["sto-a-1"]
+        paused = fleet.processes["sto-a-1"]
 
         def renew() -> None:
             try:
@@ -162,17 +158,17 @@
         paused.pause()
         for _ in range(3):
             answer = call_service(
-                places.processes["sto-b-1"].url, "renew", body="p2", idempotency_key="p2"
+                fleet.processes["sto-b-1"].url, "renew", body="p2", idempotency_key="p2"
             )
             assert answer.status_code == 200 or answer.json()["error"]["run_state"] != "ran"
             time.sleep(0.3)
         paused.resume()
         thread.join()
-        assert effects(places, "p2") == 1
+        assert effects(fleet, "p2") == 1
 
 
 class TestOperators:
-    def test_two_publish_from_one_base(self, places: Fleet, tmp_path: Path) -> None:
+    def test_concurrent_publishes_are_not_mixed(self, fleet: Fleet, tmp_path: Path) -> None:
         """Symptom: half of one operator's change and half of another's are in force.
 
         Sequence: Sato and Ito publish different folders at the same moment, several times.
@@ -182,7 +178,7 @@
             folders = {
                 name: write_folder(
                     tmp_path / f"{name}-{round_number}",
-                    places,
+                    fleet,
                     paid_tokens={
                         "lund": 80_000 + 10 * round_number + step,
                         "kushiro": 2_000_000 + 10 * round_number + step,
@@ -193,8 +189,8 @@
             codes: dict[str, int] = {}
 
             def publish(name: str, folder: Path, codes: dict[str, int] = codes) -> None:
-                settings = places.operator_settings(name)
-                done = places.run_command("publish", str(folder), f"--settings={settings}")
+                settings = fleet.operator_settings(name)
+                done = fleet.run_command("publish", str(folder), f"--settings={settings}")
                 codes[name] = done.returncode
 
             threads = [
@@ -207,5 +203,5 @@
                 thread.join()
             assert set(codes.values()) <= {0, 3}
             assert 0 in codes.values()
-            budgets = view_of(places).config.state.config.budgets
+            budgets = view_of(fleet).config.state.config.budgets
             assert budgets[LUND].paid_tokens % 10 == budgets["kushiro"].paid_tokens % 10  # type: ignore[index]
--- a/mothstand/tests/test_deregistered_upstreams.py
+++ b/mothstand/tests/test_deregistered_upstreams.py
@@ -31,7 +31,7 @@
 from ..log.health import PlatformHealth
 from ..platform.records import UPSTREAMS_STREAM, decode_upstream
 from ..testing.fakes import NoWitness
-from ..testing.memory_store import STORE_CONNECT_S, MemoryStore, StoreLink
+from ..testing.memory_store import STORE_CONNECT_TIMEOUT_S, MemoryStore, StoreLink
 from ..testing.registrations import registration
 from ..testing.virtual_time import VirtualClock, run_in_virtual_time
 
@@ -57,7 +57,7 @@
 
     def __init__(self) -> None:
         self.store = MemoryStore()
-        self.link = StoreLink(self.store, gives_up_after_s=STORE_CONNECT_S)
+        self.link = StoreLink(self.store, read_timeout_s=STORE_CONNECT_TIMEOUT_S)
         clock = VirtualClock()
         self.feed = UpstreamFeed(
             self.link,
@@ -88,13 +88,13 @@
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self.feed.run)
             await anyio.sleep(1.0)
-            self.link.is_cut = True
+            self.link.is_cut_off = True
             began_s = anyio.current_time()
             for at_s, step in sorted(steps.items()):
                 await anyio.sleep(began_s + at_s - anyio.current_time())
                 step()
             await anyio.sleep(began_s + cut_s - anyio.current_time())
-            self.link.is_cut = False
+            self.link.is_cut_off = False
             ended_s = anyio.current_time()
             while anyio.current_time() < ended_s + 2 * _MAX_REACTION_S:
                 ids = {u.upstream_id for u in self.feed.directory.accepting_upstreams("llm")}
@@ -139,7 +139,7 @@
 
         def scenario(instance: _Instance) -> dict[float, Callable[[], None]]:
             def drop() -> None:
-                instance.store.drop_history(UPSTREAMS_STREAM)
+                instance.store.compact(UPSTREAMS_STREAM)
 
             return {3.0: lambda: instance.deregister("leaves"), 4.0: drop}
 
--- a/mothstand/tests/test_escrow_agent.py
+++ b/mothstand/tests/test_escrow_agent.py
@@ -24,9 +24,9 @@
 from ..types import NO_EPOCH, BudgetName, DataCentre, Epoch, Member, Shard
 
 LUND = BudgetName("lund")
-PLACE = DataCentre("sto-a")
+DATA_CENTRE = DataCentre("sto-a")
 EPOCH = Epoch(2)
-ME, WITNESS = Member("a", "a:x", "a:0"), Member("b", "b:x", "b:0")
+HOLDER, WITNESS = Member("a", "a:x", "a:0"), Member("b", "b:x", "b:0")
 
 
 class Leader:
@@ -34,18 +34,18 @@
 
     def __init__(self) -> None:
         self.clock = FakeClock()
-        self.writer: FakeWriter[LedgerRecord] = FakeWriter(ME.incarnation)
+        self.writer: FakeWriter[LedgerRecord] = FakeWriter(HOLDER.incarnation)
         context = ShardContext(
-            membership=FakeMembership(ME, PLACE),
+            membership=FakeMembership(HOLDER, DATA_CENTRE),
             calls=NoPeers(),
             clock=self.clock,
             timing=TimingSection.model_validate({}),
             config=FleetConfig,
-            log_silent_s=lambda: 0.0,
-            data_centres=lambda: 2,
+            log_unreachable_s=lambda: 0.0,
+            data_centre_count=lambda: 2,
         )
         self.state = ShardState(Shard(0), context)
-        opened = EpochOpened(RecordId("seed", 1), Shard(0), PLACE, ME, WITNESS, NO_EPOCH)
+        opened = EpochOpened(RecordId("seed", 1), Shard(0), DATA_CENTRE, HOLDER, WITNESS, NO_EPOCH)
         ask = GrantAsk(LUND, 1000, 0, 100, 0)
         self.state.fold.apply(1, BudgetPaid(RecordId("o", 1), LUND, 1000))
         self.state.fold.apply(2, opened)
@@ -53,7 +53,7 @@
         self.account = self.state.holders[EPOCH] = HolderAccount(EPOCH, has_witness=True)
         self.agent = EscrowAgent(self.state, self.writer, lambda: None)  # type: ignore[arg-type]
 
-    def returned(self) -> list[int]:
+    def returned_tokens(self) -> list[int]:
         """Return the tokens of the queued returns."""
         return [r.tokens for r in self.writer.queue if isinstance(r, EscrowReturned)]
 
@@ -65,16 +65,16 @@
 
 
 class TestReturning:
-    def test_only_after_the_witness_has_acknowledged(self, leader: Leader) -> None:
+    def test_return_waits_for_witness_acknowledgement(self, leader: Leader) -> None:
         """Symptom: tokens are spent here and again where they were given.
 
         Sequence: a return is appended, the leaseholder dies before its witness knows of it.
         Cause it guards against: giving back what the witness still takes for free.
         """
         leader.agent.return_tokens(LUND, 300, Lane.WITNESSED)
-        assert leader.returned() == []
-        leader.agent.on_decided(EPOCH, 1, acknowledged=True)
-        assert leader.returned() == [300]
+        assert leader.returned_tokens() == []
+        leader.agent.on_reservation_decided(EPOCH, 1, is_acknowledged=True)
+        assert leader.returned_tokens() == [300]
 
     def test_rejected_return_is_forgotten(self, leader: Leader) -> None:
         """Symptom: one data centre holds most of a budget while others wait for seconds.
@@ -83,27 +83,27 @@
         Cause it guards against: a return that counts as on its way for ever.
         """
         leader.agent.return_tokens(LUND, 300, Lane.WITNESSED)
-        assert leader.agent.returning_tokens(LUND) == 300
-        leader.agent.on_decided(EPOCH, 1, acknowledged=False)
-        assert leader.agent.returning_tokens(LUND) == 0
-        assert leader.returned() == []
+        assert leader.agent.pending_return_tokens(LUND) == 300
+        leader.agent.on_reservation_decided(EPOCH, 1, is_acknowledged=False)
+        assert leader.agent.pending_return_tokens(LUND) == 0
+        assert leader.returned_tokens() == []
 
-    def test_allowance_needs_no_witness(self, leader: Leader) -> None:
+    def test_return_of_allowance_needs_no_acknowledgement(self, leader: Leader) -> None:
         leader.agent.return_tokens(LUND, 60, Lane.OWN)
-        assert leader.returned() == [60]
+        assert leader.returned_tokens() == [60]
         assert (
             leader.account.free_tokens(LUND, leader.state.fold.epochs[EPOCH].grants[LUND], Lane.OWN)
             == 40
         )
 
-    def test_nothing_that_is_not_free(self, leader: Leader) -> None:
+    def test_return_of_more_than_free_or_zero_tokens_does_nothing(self, leader: Leader) -> None:
         leader.agent.return_tokens(LUND, 901, Lane.WITNESSED)
         leader.agent.return_tokens(LUND, 0, Lane.WITNESSED)
         assert leader.account.next_batch() is None
 
 
 class TestAsking:
-    def test_unmet_asks_back_off(self, leader: Leader) -> None:
+    def test_unfulfilled_asks_back_off(self, leader: Leader) -> None:
         """Symptom: two appends for nearly every request at a budget's end.
 
         Sequence: requests wait for tokens that another data centre may give back.
@@ -131,7 +131,7 @@
                 record = leader.writer.queue.pop()
                 assert isinstance(record, GrantAsked)
                 leader.state.fold.apply(leader.state.fold.offset + 1, record)
-                leader.agent.on_grant(record)
+                leader.agent.on_grant_decided(record)
             leader.clock.advance(0.5)
         gaps = [b - a for a, b in pairwise(asked_at_s)]
         assert gaps == [1.0, 2.0, 4.0, 8.0]
--- a/mothstand/tests/test_examples.py
+++ b/mothstand/tests/test_examples.py
@@ -15,7 +15,7 @@
 
 def run(*arguments: str) -> str:
     """Run an example until it exits and return its output."""
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, *arguments],
         cwd=EXAMPLES.parent,
         capture_output=True,
@@ -23,20 +23,20 @@
         check=False,
         timeout=120.0,
     )
-    assert done.returncode == 0, done.stdout + done.stderr
-    return done.stdout
+    assert completed.returncode == 0, completed.stdout + completed.stderr
+    return completed.stdout
 
 
 class TestExamples:
-    def test_answer_bill_and_refusal(self) -> None:
-        printed = run("examples/run.py")
-        assert "answer: 200" in printed
-        assert "refusal: 402" in printed
-        assert "run state: not run" in printed
+    def test_run_prints_answer_and_refusal(self) -> None:
+        output = run("examples/run.py")
+        assert "answer: 200" in output
+        assert "refusal: 402" in output
+        assert "run state: not run" in output
 
     @pytest.mark.parametrize("user", ["kallhanvisa", "doto"])
-    def test_first_deployment(self, user: str) -> None:
-        printed = run("examples/deployment.py", user)
-        assert printed.count(" serves\n") == 6
-        assert "goes on" in printed
-        assert "taken [mixed:" in printed
+    def test_deployment_serves_on_after_kill(self, user: str) -> None:
+        output = run("examples/deployment.py", user)
+        assert output.count(" serves\n") == 6
+        assert "goes on" in output
+        assert "taken [mixed:" in output
--- a/mothstand/tests/test_failures.py
+++ b/mothstand/tests/test_failures.py
@@ -35,13 +35,13 @@
 pytestmark = pytest.mark.processes
 
 LUND = BudgetName("lund")
-PLACE = DataCentre("sto-a")
+DATA_CENTRE = DataCentre("sto-a")
 INSTANCES = ("sto-a-1", "sto-a-2")
 
 
 def check_history(fleet: Fleet, load: Load, *, paid_tokens: int = 1_000_000) -> LogView:
     """Wait for the bills of all whole answers, then check the run."""
-    answered = [record for record in load.records if record.outcome is CallOutcome.WHOLE]
+    answered = [record for record in load.records if record.outcome is CallOutcome.COMPLETE]
 
     def unbilled() -> list[CallRecord]:
         billed = view_of(fleet).bills.lines.keys()
@@ -72,14 +72,14 @@
     return [fleet.processes[n].url for n in names if fleet.processes[n].process.poll() is None]
 
 
-def false_refusals(load: Load, after_s: float) -> list[str]:
+def refusals_since(load: Load, after_s: float) -> list[str]:
     """Return the kinds of refusals of requests that began after a moment."""
     return [r.kind for r in load.records if r.outcome is CallOutcome.REFUSED and r.at_s > after_s]
 
 
 class TestKills:
     @pytest.mark.parametrize("victim", ["holder", "witness"])
-    def test_kill_of_one(self, pair: Fleet, victim: str) -> None:
+    def test_other_instance_serves_after_kill(self, pair: Fleet, victim: str) -> None:
         """Symptom: after an instance died, tokens are lost or requests are refused for long.
 
         Sequence: load, kill of the leaseholder (or its witness), load goes on at the other.
@@ -87,15 +87,15 @@
         """
         holder, witness = "", ""
         with Load(lambda: live_urls(pair, *INSTANCES)) as load:
-            wait_until(lambda: load.count(CallOutcome.WHOLE) > 20, "load runs")
-            holder, witness = holder_of(pair, LUND, PLACE)
+            wait_until(lambda: load.count(CallOutcome.COMPLETE) > 20, "load runs")
+            holder, witness = holder_of(pair, LUND, DATA_CENTRE)
             pair.processes[holder if victim == "holder" else witness].kill()
             pair.publish_list()
             time.sleep(4.0)
-            calm_s = time.monotonic()
+            settled_s = time.monotonic()
             time.sleep(1.5)
         view = check_history(pair, load)
-        assert false_refusals(load, calm_s) == []
+        assert refusals_since(load, settled_s) == []
         assert sum(f.stranded_tokens(LUND) for f in view.ledgers.values()) < 1_000_000 // 3
 
     def test_kill_of_both_strands_at_most_their_grant(self, pair: Fleet) -> None:
@@ -105,18 +105,20 @@
         Cause it guards against: granting again what nobody can vouch for.
         """
         with Load(lambda: live_urls(pair, *INSTANCES)) as load:
-            wait_until(lambda: load.count(CallOutcome.WHOLE) > 20, "load runs")
+            wait_until(lambda: load.count(CallOutcome.COMPLETE) > 20, "load runs")
             for name in INSTANCES:
                 pair.processes[name].kill()
             for name in INSTANCES:
                 pair.start_instance(name, "sto-a")
             pair.wait_ready(*INSTANCES)
-            whole = load.count(CallOutcome.WHOLE)
-            wait_until(lambda: load.count(CallOutcome.WHOLE) > whole + 20, "load goes on")
-        check_history_without_bills_of_the_dead(pair, load)
+            complete_count = load.count(CallOutcome.COMPLETE)
+            wait_until(
+                lambda: load.count(CallOutcome.COMPLETE) > complete_count + 20, "load goes on"
+            )
+        check_history_without_bills_of_killed(pair, load)
 
 
-def check_history_without_bills_of_the_dead(fleet: Fleet, load: Load) -> None:
+def check_history_without_bills_of_killed(fleet: Fleet, load: Load) -> None:
     """Check a run in which entry, holder and witness died at once.
 
     The bills of their last posting interval are gone, while their grant stays written off; that
@@ -138,27 +140,27 @@
 
 
 class TestPauses:
-    def test_holder_paused_past_its_lease_wakes(self, pair: Fleet) -> None:
+    def test_resumed_holder_does_not_spend_on_expired_lease(self, pair: Fleet) -> None:
         """Symptom: two leaseholders spend the same tokens.
 
         Sequence: SIGSTOP of the leaseholder under load, takeover by the witness, SIGCONT.
         Cause it guards against: a process that goes on with a lease it lost while it slept.
         """
         with Load(lambda: live_urls(pair, *INSTANCES)) as load:
-            wait_until(lambda: load.count(CallOutcome.WHOLE) > 20, "load runs")
-            holder, witness = holder_of(pair, LUND, PLACE)
+            wait_until(lambda: load.count(CallOutcome.COMPLETE) > 20, "load runs")
+            holder, witness = holder_of(pair, LUND, DATA_CENTRE)
             pair.processes[holder].pause()
-            wait_until(lambda: holder_of(pair, LUND, PLACE)[0] == witness, "takeover")
+            wait_until(lambda: holder_of(pair, LUND, DATA_CENTRE)[0] == witness, "takeover")
             pair.processes[holder].resume()
             time.sleep(3.0)
-            calm_s = time.monotonic()
+            settled_s = time.monotonic()
             time.sleep(1.0)
         check_history(pair, load)
-        assert false_refusals(load, calm_s) == []
+        assert refusals_since(load, settled_s) == []
 
 
 class TestOutages:
-    def test_log_out_and_top_up_in_the_middle(self, pair: Fleet, tmp_path: Path) -> None:
+    def test_top_up_in_log_outage_refuses_nothing(self, pair: Fleet, tmp_path: Path) -> None:
         """Symptom: a data centre cut off from the platform refuses, or spends what it has not.
 
         Sequence: load, the log is out for both instances, the operator tops up, the log is back.
@@ -166,8 +168,8 @@
         log has granted it.
         """
         with Load(lambda: live_urls(pair, *INSTANCES)) as load:
-            wait_until(lambda: load.count(CallOutcome.WHOLE) > 50, "load runs")
-            cut_s = time.monotonic()
+            wait_until(lambda: load.count(CallOutcome.COMPLETE) > 50, "load runs")
+            outage_began_s = time.monotonic()
             pair.set_faults("platform", mode="down", callers=list(INSTANCES))
             time.sleep(3.0)
             folder = write_folder(tmp_path / "folder", pair, paid_tokens={"lund": 2_000_000})
@@ -178,23 +180,23 @@
             pair.set_faults("platform", mode="ok")
             time.sleep(3.0)
         check_history(pair, load, paid_tokens=2_000_000)
-        assert false_refusals(load, cut_s) == []
+        assert refusals_since(load, outage_began_s) == []
 
-    def test_log_loses_answers_after_their_effect(self, pair: Fleet) -> None:
+    def test_lost_append_answers_count_nothing_twice(self, pair: Fleet) -> None:
         """Symptom: bills or grants count twice.
 
         Sequence: the log appends and gives no answer; the writers append again.
         Cause it guards against: taking an unanswered append for one that did not happen.
         """
         with Load(lambda: live_urls(pair, *INSTANCES)) as load:
-            wait_until(lambda: load.count(CallOutcome.WHOLE) > 20, "load runs")
+            wait_until(lambda: load.count(CallOutcome.COMPLETE) > 20, "load runs")
             pair.set_faults("platform", mode="lose")
             time.sleep(2.0)
             pair.set_faults("platform", mode="ok")
             time.sleep(1.0)
         check_history(pair, load)
 
-    def test_instance_that_starts_while_the_platform_is_out(self, pair: Fleet) -> None:
+    def test_instance_started_in_platform_outage_serves(self, pair: Fleet) -> None:
         """Symptom: a replacement refuses everything, or serves an old configuration.
 
         Sequence: the log is out, an instance starts that knows one peer from its settings.
@@ -209,26 +211,26 @@
 
 
 class TestReplacement:
-    def test_every_instance_one_by_one(self, pair: Fleet) -> None:
+    def test_rolling_replacement_refuses_and_strands_nothing(self, pair: Fleet) -> None:
         """Symptom: a rolling replacement strands tokens or refuses callers.
 
         Sequence: SIGTERM of each instance in turn, a new one in its place, under load.
         Cause it guards against: a stop that leaves without handing its epochs over.
         """
-        leaving: set[str] = set()
+        stopping: set[str] = set()
         names = list(INSTANCES)
 
         def urls() -> list[str]:
-            return live_urls(pair, *(n for n in names if n not in leaving))
+            return live_urls(pair, *(n for n in names if n not in stopping))
 
         with Load(urls) as load:
-            wait_until(lambda: load.count(CallOutcome.WHOLE) > 20, "load runs")
+            wait_until(lambda: load.count(CallOutcome.COMPLETE) > 20, "load runs")
             for name in INSTANCES:
                 new = f"{name}-new"
                 pair.start_instance(new, "sto-a")
                 pair.wait_ready(new)
                 names.append(new)
-                leaving.add(name)
+                stopping.add(name)
                 assert pair.processes[name].terminate() == 0
                 pair.publish_list()
                 time.sleep(1.0)
@@ -241,7 +243,7 @@
 
 
 class TestRelease:
-    def test_what_a_dead_leaseholder_holds_back(self, pair: Fleet) -> None:
+    def test_release_returns_tokens_of_dead_leaseholder_only(self, pair: Fleet) -> None:
         """Symptom: tokens that are paid for can never be spent, or are given back too early.
 
         Sequence: an operator releases an epoch while its leaseholder lives, and after its death.
@@ -249,9 +251,9 @@
         """
         for _ in range(20):
             assert chat(pair.processes["sto-a-1"].url).status_code == 200
-        holder, witness = holder_of(pair, LUND, PLACE)
+        holder, witness = holder_of(pair, LUND, DATA_CENTRE)
         shard = shard_of(LUND, pair.shards)
-        epoch = epoch_of(pair, LUND, PLACE).epoch
+        epoch = epoch_of(pair, LUND, DATA_CENTRE).epoch
         settings = f"--settings={pair.operator_settings()}"
         command = ("release", f"--shard={shard}", f"--epoch={epoch}", settings)
         early = pair.run_command(*command)
@@ -259,8 +261,8 @@
         assert f"{holder} still answers" in early.stderr
 
         pair.processes[holder].kill()
-        wait_until(lambda: holder_of(pair, LUND, PLACE)[0] == witness, "takeover")
-        wait_until(lambda: epoch_of_number(pair, shard, epoch).is_closed, "the witness closes")
+        wait_until(lambda: holder_of(pair, LUND, DATA_CENTRE)[0] == witness, "takeover")
+        wait_until(lambda: epoch_state(pair, shard, epoch).is_closed, "the witness closes")
         assert "stranded: shard" in pair.run_command("status", settings).stdout
         time.sleep(1.0)
         released = pair.run_command(*command)
@@ -273,13 +275,15 @@
         assert pair.run_command(*command).returncode != 0
 
 
-def epoch_of_number(fleet: Fleet, shard: int, epoch: Epoch) -> EpochState:
+def epoch_state(fleet: Fleet, shard: int, epoch: Epoch) -> EpochState:
     """Return an epoch of a shard."""
     return view_of(fleet).ledgers[Shard(shard)].epochs[epoch]
 
 
 class TestTrimming:
-    def test_instance_that_starts_after_trimming(self, empty_fleet: Fleet, tmp_path: Path) -> None:
+    def test_instance_started_after_trimming_serves(
+        self, empty_fleet: Fleet, tmp_path: Path
+    ) -> None:
         """Symptom: a replacement has no configuration, or grants what was granted before.
 
         Sequence: many grants and changes, the log trims the old ones, both instances are replaced.
@@ -293,7 +297,7 @@
             folder = write_folder(
                 tmp_path / "folder", fleet, paid_tokens={"lund": 100_000 + number, "kushiro": 1}
             )
-            publish_at_once(fleet, folder)
+            publish_without_waiting(fleet, folder)
         fleet.wait_ready("sto-a-1", "sto-a-2")
         assert chat(fleet.processes["sto-a-1"].url).status_code == 200
         wait_until(lambda: "config_snapshot" in raw_stream(fleet, "config"), "a snapshot")
@@ -305,7 +309,7 @@
         assert view.config.state.config.budgets[LUND].paid_tokens == 100_059
 
 
-def publish_at_once(fleet: Fleet, folder: Path) -> None:
+def publish_without_waiting(fleet: Fleet, folder: Path) -> None:
     """Publish a folder without waiting for it to be in force."""
 
     async def run() -> None:
--- a/mothstand/tests/test_feeds.py
+++ b/mothstand/tests/test_feeds.py
@@ -68,11 +68,11 @@
                 publish(1)
                 tasks.start_soon(feed.run)
                 await anyio.sleep(1.0)
-                link.is_cut = True
+                link.is_cut_off = True
                 await anyio.sleep(1.0)
                 for version in range(2, 32):
                     publish(version)
-                link.is_cut = False
+                link.is_cut_off = False
                 await anyio.sleep(1.0)
                 tasks.cancel_scope.cancel()
 
--- a/mothstand/tests/test_fleet.py
+++ b/mothstand/tests/test_fleet.py
@@ -27,7 +27,7 @@
 from ..log.health import PlatformHealth
 from ..peers.failures import PeerError, PeerUnreachableError
 from ..testing.budget_fleet import BudgetFleet
-from ..testing.fakes import RETRIES, SilentPeers
+from ..testing.fakes import RETRIES, UnreachablePeers
 from ..testing.memory_store import MemoryStore, StoreLink
 from ..testing.virtual_time import VirtualClock, run_in_virtual_time
 from ..types import BudgetName, DataCentre, Shard
@@ -60,7 +60,7 @@
     async def stop() -> None:
         await anyio.sleep(12.0)
         fleet.store_call_s = store_call_s
-        await fleet.restart("i0-0:1", down_s=0.7, gives_back=True, drains_s=drains_s)
+        await fleet.restart("i0-0:1", down_s=0.7, is_graceful=True, drain_s=drains_s)
 
     async def run() -> None:
         async with anyio.create_task_group() as tasks:
@@ -324,7 +324,7 @@
         """
         calls: list[Handover] = []
 
-        class Silent(SilentPeers):
+        class Silent(UnreachablePeers):
             async def hand_over(self, address: str, handover: Handover) -> None:
                 calls.append(handover)
                 raise error(address)
@@ -398,9 +398,9 @@
         fleet = BudgetFleet(4, 3, prepaid_tokens, claimants, unanswered_share=0.5)
         run_in_virtual_time(lambda: fleet.run(12.0, requests_per_s=40))
         assert fleet.counts["budget_out_of_reach"] > 0
-        assert fleet.sure_tokens < 0.9 * prepaid_tokens
+        assert fleet.confirmed_tokens < 0.9 * prepaid_tokens
         assert fleet.counts["budget_exhausted"] == 0
-        assert fleet.recorded_spent_tokens <= fleet.sure_tokens
+        assert fleet.recorded_spent_tokens <= fleet.confirmed_tokens
         assert fleet.spent_tokens <= prepaid_tokens
 
     def test_store_outage_is_served_from_claimants_tokens(self) -> None:
@@ -449,6 +449,6 @@
 
 async def _cut_off_from_store(fleet: BudgetFleet, after_s: float, for_s: float) -> None:
     await anyio.sleep(after_s)
-    fleet.cut_off_from_store(True)
+    fleet.set_cut_off_from_store(True)
     await anyio.sleep(for_s)
-    fleet.cut_off_from_store(False)
+    fleet.set_cut_off_from_store(False)
--- a/mothstand/tests/test_forward.py
+++ b/mothstand/tests/test_forward.py
@@ -38,7 +38,7 @@
 )
 from ..log.health import PlatformHealth
 from ..platform.headers import PlatformHeaders
-from ..testing.fakes import SilentPeers
+from ..testing.fakes import UnreachablePeers
 from ..testing.memory_store import MemoryStore, StoreLink
 from ..types import DataCentre
 
@@ -154,7 +154,7 @@
             self.clock,
             PlatformHealth(self.clock),
             "me",
-            SilentPeers(),
+            UnreachablePeers(),
             lambda: [],
             lambda: 1,
         )
--- a/mothstand/tests/test_gateway.py
+++ b/mothstand/tests/test_gateway.py
@@ -35,14 +35,14 @@
 
 
 def statuses(fleet: GatewayFleet, instance: FleetProcess, count: int, name: str) -> list[int]:
-    return [fleet.ask(instance, f"{name}-{n}").status_code for n in range(count)]
+    return [fleet.send_request(instance, f"{name}-{n}").status_code for n in range(count)]
 
 
 class TestPath:
     def test_stream_is_served_end_to_end(self, fleet: GatewayFleet) -> None:
         engine = fleet.start_engine("e-1")
         instance = fleet.start_instance("a")
-        answer = fleet.ask(instance, "r-1")
+        answer = fleet.send_request(instance, "r-1")
         assert answer.status_code == 200
         assert answer.headers["X-Server-Signature"] == "signed-e-1"
         assert answer.content.count(b"id:") == 5
@@ -54,10 +54,10 @@
     def test_bad_requests_are_refused_before_any_upstream(self, fleet: GatewayFleet) -> None:
         engine = fleet.start_engine("e-1")
         instance = fleet.start_instance("a")
-        assert fleet.ask(instance, "r-1", key="wrong").status_code == 401
-        assert fleet.ask(instance, "r-2", path="/elsewhere/").status_code == 404
-        assert fleet.ask(instance, "r-3", tokens="many,1").status_code == 400
-        assert fleet.ask(instance, "r-4", tokens="100000,1").status_code == 402
+        assert fleet.send_request(instance, "r-1", key="wrong").status_code == 401
+        assert fleet.send_request(instance, "r-2", path="/elsewhere/").status_code == 404
+        assert fleet.send_request(instance, "r-3", tokens="many,1").status_code == 400
+        assert fleet.send_request(instance, "r-4", tokens="100000,1").status_code == 402
         assert fleet.journal(engine) == []
 
     def test_stop_lets_running_requests_finish(self, fleet: GatewayFleet) -> None:
@@ -90,7 +90,7 @@
         fleet.start_engine("e-1", event_s=0.1)
         instance = fleet.start_instance("a")
         for number in range(5):
-            fleet.leave_after_first_event(instance, f"r-{number}")
+            fleet.disconnect_after_first_event(instance, f"r-{number}")
         wait_until(
             lambda: fleet.log(instance).count("request_left") == 5, "5 lines of callers gone"
         )
@@ -110,7 +110,7 @@
 
         def ask() -> None:
             try:
-                fleet.ask(instance, "r-1", tokens="100,50000")
+                fleet.send_request(instance, "r-1", tokens="100,50000")
             except httpx.HTTPError as error:
                 cut.append(repr(error))
 
@@ -134,7 +134,7 @@
         stopped, other = fleet.start_instance("a"), fleet.start_instance("b")
         # The first one reads of the second with its next look.
         time.sleep(ANNOUNCE_INTERVAL_S + 0.5)
-        fleet.set_store_away(True)
+        fleet.set_store_unreachable(True)
         time.sleep(UNLOCK_S + 1.0)
         assert stopped.terminate() == 0
         log = fleet.log(fleet.processes["a"])
@@ -144,7 +144,7 @@
         assert len(left) == 1
         assert left == taken
         assert left[0] > 0
-        assert fleet.ask(other, "r-1").status_code == 200
+        assert fleet.send_request(other, "r-1").status_code == 200
 
 
 class TestBudget:
@@ -174,7 +174,7 @@
         instance = fleet.start_instance("a")
         assert statuses(fleet, instance, 5, "before") == [200] * 5
         time.sleep(1.5)
-        fleet.set_store_away(True)
+        fleet.set_store_unreachable(True)
         assert statuses(fleet, instance, 20, "during") == [200] * 20
 
     def test_killed_instance_causes_no_overspending(self, fleet: GatewayFleet) -> None:
@@ -205,6 +205,6 @@
 
     def test_new_engine_is_discovered(self, fleet: GatewayFleet) -> None:
         instance = fleet.start_instance("a")
-        assert fleet.ask(instance, "r-1").status_code == 503
+        assert fleet.send_request(instance, "r-1").status_code == 503
         fleet.start_engine("e-1")
-        wait_until(lambda: fleet.ask(instance, "r-2").status_code == 200, "engine found")
+        wait_until(lambda: fleet.send_request(instance, "r-2").status_code == 200, "engine found")
