--- a/mothstand/tests/test_histories.py
+++ b/mothstand/tests/test_histories.py
@@ -12,7 +12,7 @@
 from ..testing.histories import Counts, History, InjectedFault, OverspentError
 
 _CLEAN_SEEDS = 150
-_MOST_SEEDS = 1500
+_MAX_SEEDS = 1500
 _STEPS = 1000
 
 
@@ -21,10 +21,10 @@
     logging.set_verbosity(logging.FATAL)
 
 
-def run_one(seed: int, plant: InjectedFault) -> Counts:
+def run_one(seed: int, fault: InjectedFault) -> Counts:
     """Run one history from its seed."""
-    per_place = 3 if plant is InjectedFault.HOLDER_PICKS_WITNESS else 2
-    history = History(random.Random(seed), plant=plant, per_place=per_place)
+    per_data_centre = 3 if fault is InjectedFault.HOLDER_PICKS_WITNESS else 2
+    history = History(random.Random(seed), fault=fault, per_data_centre=per_data_centre)
     history.run(_STEPS)
     return history.counts
 
@@ -52,15 +52,15 @@
     @pytest.mark.parametrize(
         "plant", [plant for plant in InjectedFault if plant is not InjectedFault.NONE]
     )
-    def test_known_fault_is_found(self, plant: InjectedFault) -> None:
+    def test_injected_fault_is_found(self, plant: InjectedFault) -> None:
         """Symptom: a fault that overspends passes the checks.
 
         Sequence: the same histories, with one rule of the ledger broken on purpose.
         Cause it guards against: checks or histories too weak to reach the fault.
         """
-        for seed in range(_MOST_SEEDS):
+        for seed in range(_MAX_SEEDS):
             try:
                 run_one(seed, plant)
             except OverspentError:
                 return
-        pytest.fail(f"{plant} was not found in {_MOST_SEEDS} histories")
+        pytest.fail(f"{plant} was not found in {_MAX_SEEDS} histories")
--- a/mothstand/tests/test_operations.py
+++ b/mothstand/tests/test_operations.py
@@ -57,8 +57,8 @@
         """
         fleet.start_engine("e-1")
         instance = fleet.start_instance("a")
-        assert fleet.ask(instance, "r-1").status_code == 200
-        assert fleet.ask(instance, "r-2", tokens="99990,1").status_code == 402
+        assert fleet.send_request(instance, "r-1").status_code == 200
+        assert fleet.send_request(instance, "r-2", tokens="99990,1").status_code == 402
         refused = wait_for(fleet, "request_refused", request="r-2")
         assert refused["kind"] == "budget_exhausted"
         assert refused["detail"] == "seniors: 99991 tokens do not fit"
@@ -84,7 +84,7 @@
 
         def ask() -> None:
             try:
-                fleet.ask(instance, "r-1")
+                fleet.send_request(instance, "r-1")
             except httpx.HTTPError as error:
                 ended.append(repr(error))
 
@@ -109,7 +109,7 @@
         """
         fleet.start_engine("e-1", event_s=0.5)
         instance = fleet.start_instance("a")
-        assert fleet.ask(instance, "r-1").status_code == 200
+        assert fleet.send_request(instance, "r-1").status_code == 200
         answered = wait_for(fleet, "request_answered", request="r-1")
         assert answered["attempts"] == 1
         assert answered["elapsed_s"] > 1.0
--- a/mothstand/tests/test_orders.py
+++ b/mothstand/tests/test_orders.py
@@ -22,7 +22,7 @@
 from ..settings.folder import validate_sections
 from ..testing.examples import MODEL, chat, write_folder
 from ..testing.fleet import Fleet, wait_until
-from ..testing.orders import HERE, NAMES, NOTHING, OrderHistory, engine, state
+from ..testing.orders import DATA_CENTRE, EMPTY_SETUP, ISSUERS, OrderHistory, engine, state
 
 if TYPE_CHECKING:
     from pathlib import Path
@@ -30,7 +30,7 @@
     from ..core.config import Sections
 
 
-def report(setup: EngineSetup = NOTHING, *, fencing: int = 0, loading: bool = False) -> Any:
+def report(setup: EngineSetup = EMPTY_SETUP, *, fencing: int = 0, loading: bool = False) -> Any:
     """Return what an engine says."""
     return EngineReport(setup, fencing, loading)
 
@@ -39,21 +39,21 @@
     A, B = engine("a", OrderCheck.FENCED), engine("b", OrderCheck.FENCED)
 
     def planner(
-        self, config: ConfigState, now_s: float = 0.0, name: str = NAMES[0]
+        self, config: ConfigState, now_s: float = 0.0, name: str = ISSUERS[0]
     ) -> OrderPlanner:
         """Return the planner of the only live instance."""
-        planner = OrderPlanner(name, HERE)
+        planner = OrderPlanner(name, DATA_CENTRE)
         planner.engines_to_poll(config.config, [name], config.config.weight_loads, now_s)
         return planner
 
-    def test_whole_setup_under_the_configuration_s_offset(self) -> None:
+    def test_order_has_complete_setup_and_configuration_offset(self) -> None:
         config = state(7, self.A)
         order = self.planner(config).decide(self.A, report(), config, 0.0)
         assert order is not None
         assert order.fencing == 7
         assert str(order.setup) == "mixed: m@7"
 
-    def test_nothing_to_do(self) -> None:
+    def test_no_order_if_engine_is_up_to_date_or_loading(self) -> None:
         config = state(7, self.A)
         planner = self.planner(config)
         done = desired_setup(config.config, self.A)
@@ -85,7 +85,7 @@
         assert planner.decide(self.A, report(done), config, 2.0) is None
         assert planner.decide(self.B, report(), config, 2.0) is not None
 
-    def test_new_issuer_waits_before_an_engine_that_does_not_check(self) -> None:
+    def test_new_issuer_delays_first_order_to_unfenced_engine(self) -> None:
         unchecked = engine("a")
         config = state(7, unchecked)
         planner = self.planner(config)
@@ -93,7 +93,7 @@
         assert planner.decide(unchecked, report(), config, wait_s - 0.1) is None
         assert planner.decide(unchecked, report(), config, wait_s) is not None
 
-    def test_order_that_was_held_up_is_not_sent(self) -> None:
+    def test_delayed_order_is_not_sent(self) -> None:
         """Symptom: an engine that takes any order goes back to an old version.
 
         Sequence: an issuer is stopped between its decision and the send, another orders something
@@ -107,7 +107,7 @@
         assert planner.may_send(order, 0.5)
         assert not planner.may_send(order, 60.0)
 
-    def test_contested_engine_is_ordered_ever_less_often(self) -> None:
+    def test_orders_to_contested_engine_back_off(self) -> None:
         """Symptom: an engine loads weights again and again, and serves nothing.
 
         Sequence: something that we do not know of undoes each order.
@@ -122,21 +122,21 @@
         assert orders <= 8
         assert planner.is_contested("a")
 
-    def test_issuers_are_no_more_than_may_load_at_once(self) -> None:
-        assert len(order_issuers(NAMES, HERE, 2)) == 2
-        assert len(order_issuers(NAMES, HERE, 1)) == 1
+    def test_issuers_do_not_exceed_concurrent_loads(self) -> None:
+        assert len(order_issuers(ISSUERS, DATA_CENTRE, 2)) == 2
+        assert len(order_issuers(ISSUERS, DATA_CENTRE, 1)) == 1
         engines = [engine(f"e{n}") for n in range(6)]
         config = state(1, *engines, weight_loads=2).config
-        planners = [OrderPlanner(name, HERE) for name in NAMES]
-        looked = [
-            e.name for planner in planners for e in planner.engines_to_poll(config, NAMES, 2, 0.0)
+        planners = [OrderPlanner(name, DATA_CENTRE) for name in ISSUERS]
+        polled = [
+            e.name for planner in planners for e in planner.engines_to_poll(config, ISSUERS, 2, 0.0)
         ]
-        assert sorted(looked) == [e.name for e in engines]
+        assert sorted(polled) == [e.name for e in engines]
 
 
 class TestHistories:
     @pytest.mark.parametrize("seed", range(30))
-    def test_every_engine_ends_with_what_it_should_have(self, seed: int) -> None:
+    def test_every_engine_converges_to_desired_setup(self, seed: int) -> None:
         """Symptom: an engine stays at an old version, or in another's role.
 
         Sequence: issuers with old configurations and wrong views of who is alive, orders that
@@ -163,13 +163,13 @@
         },
     }
 
-    def test_valid(self) -> None:
+    def test_engine_with_model_and_adapter_is_valid(self) -> None:
         config = validate_sections(self.SECTIONS)
         setup = desired_setup(config, config.upstreams["e"])
         assert str(setup) == "mixed: m@3 tuned@1"
 
     @pytest.mark.parametrize("serves", ["tuned", "m other"])
-    def test_engine_of_an_unknown_model_or_an_adapter_alone(self, serves: str) -> None:
+    def test_unknown_model_or_adapter_without_base_is_refused(self, serves: str) -> None:
         sections = {
             **self.SECTIONS,
             "upstream e": {**self.SECTIONS["upstream e"], "serves": serves},
@@ -178,7 +178,7 @@
             validate_sections(sections)
 
 
-def order_folder(fleet: Fleet, folder: Path, version: str) -> Path:
+def write_order_folder(fleet: Fleet, folder: Path, version: str) -> Path:
     """Write a folder whose engines take orders, and return it."""
     write_folder(folder, fleet)
     text = (folder / "10-all.ini").read_text(encoding="utf-8")
@@ -194,7 +194,7 @@
     return folder
 
 
-def loaded(fleet: Fleet, name: str) -> str:
+def loaded_version(fleet: Fleet, name: str) -> str:
     """Return the version that an engine has loaded."""
     setup = httpx.get(f"{fleet.processes[name].url}/v1/setup", trust_env=False).json()
     return "" if setup["loading"] or not setup["models"] else str(setup["models"][0]["version"])
@@ -218,29 +218,29 @@
         for name in ("sto-a-1", "sto-a-2"):
             fleet.start_instance(name, "sto-a")
         folder = tmp_path / "folder"
-        assert fleet.publish(order_folder(fleet, folder, "1")).returncode == 0
+        assert fleet.publish(write_order_folder(fleet, folder, "1")).returncode == 0
         for version, paused in enumerate(("sto-a-1", "sto-a-2"), start=2):
-            both_have(fleet, str(version - 1))
+            wait_for_version(fleet, str(version - 1))
             fleet.processes[paused].pause()
             time.sleep(1.5)
-            order_folder(fleet, folder, str(version))
+            write_order_folder(fleet, folder, str(version))
             # It waits for the paused instance in vain; what counts is that it is accepted.
             assert "accepted" in fleet.publish(folder).stdout
-            both_have(fleet, str(version))
+            wait_for_version(fleet, str(version))
             fleet.processes[paused].resume()
         time.sleep(2.0)
-        both_have(fleet, "3")
+        wait_for_version(fleet, "3")
         url = fleet.processes["sto-a-1"].url
         wait_until(lambda: chat(url).status_code == 200, "serves")
         audit = fleet.run_command("audit", f"--settings={fleet.operator_settings()}").stdout
         assert "ordered llm-b under config@" in audit
 
 
-def both_have(fleet: Fleet, version: str) -> None:
+def wait_for_version(fleet: Fleet, version: str) -> None:
     """Wait until both engines have a version."""
     for name in ("llm-a", "llm-b"):
         wait_until(
-            lambda n=name: loaded(fleet, n) == version,
+            lambda n=name: loaded_version(fleet, n) == version,
             f"{name} has version {version}",
             timeout_s=30.0,
         )
--- a/mothstand/tests/test_path.py
+++ b/mothstand/tests/test_path.py
@@ -19,14 +19,14 @@
 pytestmark = pytest.mark.processes
 
 
-def billed_line(fleet: Fleet, budget: str) -> list[str]:
+def status_fields(fleet: Fleet, budget: str) -> list[str]:
     """Return the fields of a budget's line in ``status``."""
     status = fleet.run_command("status", f"--settings={fleet.operator_settings()}").stdout
     return next(line for line in status.splitlines() if line.startswith(budget)).split()
 
 
 class TestAnswers:
-    def test_whole_and_streamed_answers_by_an_ordinary_client(self, pair: Fleet) -> None:
+    def test_complete_and_streamed_answers_with_openai_client(self, pair: Fleet) -> None:
         url = pair.processes["sto-a-1"].url
         client = openai.OpenAI(base_url=f"{url}/v1", api_key=KEYS["lund"], max_retries=0)
         messages: Any = [{"role": "user", "content": "Rewrite in APA: Berg."}]
@@ -51,7 +51,7 @@
         assert last.usage is not None
         assert last.usage.total_tokens == 16
 
-    def test_plain_service(self, pair: Fleet) -> None:
+    def test_plain_service_answers(self, pair: Fleet) -> None:
         answer = call_service(pair.processes["sto-a-2"].url, "format")
         assert answer.status_code == 200
         assert answer.json()["echo"] == "pass 17"
@@ -60,10 +60,10 @@
         for name in ("sto-a-1", "sto-a-2", "sto-a-1"):
             assert chat(pair.processes[name].url, max_tokens=12).status_code == 200
         assert call_service(pair.processes["sto-a-1"].url, "format").status_code == 200
-        wait_until(lambda: billed_line(pair, "lund")[2] == "48", "lund's three bills")
-        wait_until(lambda: billed_line(pair, "kushiro")[2] == "5", "kushiro's bill")
+        wait_until(lambda: status_fields(pair, "lund")[2] == "48", "lund's three bills")
+        wait_until(lambda: status_fields(pair, "kushiro")[2] == "5", "kushiro's bill")
 
-    def test_stop_cuts_no_stream(self, pair: Fleet) -> None:
+    def test_running_stream_completes_during_stop(self, pair: Fleet) -> None:
         """Symptom: a caller's stream breaks off during a planned stop of its instance.
 
         Sequence: a slow stream runs, SIGTERM arrives, the stream goes on.
@@ -101,7 +101,7 @@
             ({"max_tokens": 999_999, "prompt": "x" * 9000}, 402, "budget_exhausted"),
         ],
     )
-    def test_row_of_the_table(
+    def test_refusal_has_documented_status_and_is_not_run(
         self, pair: Fleet, change: dict[str, object], status: int, kind: str
     ) -> None:
         answer = chat(pair.processes["sto-a-1"].url, **change)  # type: ignore[arg-type]
@@ -111,7 +111,7 @@
         seen = json.dumps([pair.journal("llm-a"), pair.journal("llm-b")])
         assert seen == "[[], []]"
 
-    def test_budget_past_its_end_is_refused_as_not_run(self, pair: Fleet) -> None:
+    def test_request_larger_than_budget_is_refused_as_not_run(self, pair: Fleet) -> None:
         url = pair.processes["sto-a-1"].url
         answer = chat(url, max_tokens=1_000_000)
         assert answer.status_code == 402
--- a/mothstand/tests/test_platform.py
+++ b/mothstand/tests/test_platform.py
@@ -60,7 +60,7 @@
 
         async def run() -> None:
             log, clock = FakeLog(), FakeClock()
-            log.lose_answers = 1
+            log.answers_to_lose = 1
             writer = make_writer(log, clock, Pace(0.0))
             writer.submit(bill_maker("r1"))
             async with anyio.create_task_group() as tasks:
@@ -151,12 +151,12 @@
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(reader.run)
                 await run_tasks_until_idle()
-                log.down = True
+                log.is_down = True
                 for _ in range(100):
                     clock.advance(0.1)
                     await run_tasks_until_idle()
                 assert health.is_unreachable
-                log.down = False
+                log.is_down = False
                 # The longest pause between two tries, and no waiting read.
                 for _ in range(15):
                     clock.advance(0.1)
@@ -177,12 +177,12 @@
             clock = FakeClock()
             log, health = FakeLog(), PlatformHealth(clock)
             watched = MonitoredLog(log, health)
-            log.down = True
+            log.is_down = True
             with pytest.raises(LogError):
                 await watched.read(STREAM, 1, wait_s=0.0)
             clock.advance(UNREACHABLE_AFTER_S)
             assert health.is_unreachable
-            log.down = False
+            log.is_down = False
             await watched.append(STREAM, b"x")
             assert not health.is_unreachable
 
--- a/mothstand/tests/test_quarantine_feed.py
+++ b/mothstand/tests/test_quarantine_feed.py
@@ -13,7 +13,7 @@
 from ..gateway.crash_detector import BrokenAttempt
 from ..gateway.quarantine_feed import QUARANTINE_STREAM, QuarantineFeed
 from ..log.health import PlatformHealth
-from ..testing.fakes import SilentPeers
+from ..testing.fakes import UnreachablePeers
 from ..testing.memory_store import MemoryStore, StoreCallOutcome, StoreLink
 from ..testing.virtual_time import VirtualClock, run_in_virtual_time
 from ..types import DataCentre
@@ -31,7 +31,7 @@
     return RegisteredUpstream(f"u{number}", "llm", f"e{number}:1", DataCentre("a"), 8, False, 1)
 
 
-class Peers(SilentPeers):
+class Peers(UnreachablePeers):
     def __init__(self, fleet: Fleet) -> None:
         self._fleet = fleet
 
@@ -57,7 +57,7 @@
     def start(self, name: str) -> QuarantineFeed:
         clock = VirtualClock()
         self.links[name] = StoreLink(
-            self.store, lambda: self.next_outcome(name), gives_up_after_s=0.3
+            self.store, lambda: self.next_outcome(name), read_timeout_s=0.3
         )
         self.feeds[name] = QuarantineFeed(
             self.links[name],
@@ -189,7 +189,7 @@
             fleet.start(name)
 
         async def steps() -> None:
-            fleet.links["a"].is_cut = True
+            fleet.links["a"].is_cut_off = True
             fleet.report("a", *range(CRASH_THRESHOLD))
             await anyio.sleep(2.0)
             assert all(fleet.is_quarantined(name) for name in "abcde")
@@ -205,11 +205,11 @@
         fleet.hanging_peers = set("bcd")
 
         async def steps() -> None:
-            fleet.links["a"].is_cut = True
+            fleet.links["a"].is_cut_off = True
             fleet.report("a", 0)
             await anyio.sleep(0.5)
             assert sorted(fleet.notified_peers) == ["b", "c", "d"]
-            fleet.links["a"].is_cut = False
+            fleet.links["a"].is_cut_off = False
             await anyio.sleep(0.5)
             assert len(fleet.keys()) == 1
 
@@ -223,12 +223,12 @@
 
         async def steps() -> None:
             for link in fleet.links.values():
-                link.is_cut = True
+                link.is_cut_off = True
             fleet.report("a", *range(CRASH_THRESHOLD))
             await anyio.sleep(20.0)
             assert not fleet.is_quarantined("b")
             for link in fleet.links.values():
-                link.is_cut = False
+                link.is_cut_off = False
             await anyio.sleep(1.5)
             assert fleet.is_quarantined("b")
 
@@ -307,7 +307,7 @@
             claimed = await fleet.feeds["a"].claim_probe(DIGEST)
             assert claimed is not None
             await anyio.sleep(0.5)
-            fleet.links["a"].is_cut = True
+            fleet.links["a"].is_cut_off = True
             fleet.feeds["a"].return_probe(claimed)
             await anyio.sleep(1.0)
             assert fleet.probe_keys() == []
--- a/mothstand/tests/test_recovery.py
+++ b/mothstand/tests/test_recovery.py
@@ -30,14 +30,14 @@
 _USED_TOKENS = 8_100
 
 #: Paid at the day's start; a quarter of it is added later.
-_TOO_FEW_PAID_TOKENS = 2_600_000
-_ENOUGH_PAID_TOKENS = 3_000_000
+_SCARCE_PAID_TOKENS = 2_600_000
+_AMPLE_PAID_TOKENS = 3_000_000
 _DAY_S = 51.0
 
 #: Seconds after a death of all within which a fleet must have recovered, and the least part of the
 #: requests after that which must be served: the platform's terms.
 _RECOVERY_S = 12.0
-_LEAST_SERVED_SHARE = 0.25
+_MIN_SERVED_SHARE = 0.25
 
 
 @dataclass(slots=True)
@@ -46,7 +46,7 @@
 
     fleet: BudgetFleet
     seed: int
-    before: Counter[str] = field(default_factory=Counter)
+    counts_at_recovery: Counter[str] = field(default_factory=Counter)
     unspent_tokens: int = 0
 
     async def run(self) -> None:
@@ -65,16 +65,16 @@
             await until(4.0)
             tasks.start_soon(self._stop_in_turn)
             await until(4.5)
-            self.fleet.cut_off_from_store(True)
+            self.fleet.set_cut_off_from_store(True)
             await until(12.5)
-            self.fleet.cut_off_from_store(False)
+            self.fleet.set_cut_off_from_store(False)
             await until(18.0)
             self.fleet.prepaid_tokens += self.fleet.prepaid_tokens // 4
             await until(34.0)
             for address in list(self.fleet.instances):
                 tasks.start_soon(self._kill, address)
             await until(34.8 + _RECOVERY_S)
-            self.before = Counter(self.fleet.counts)
+            self.counts_at_recovery = Counter(self.fleet.counts)
             self.unspent_tokens = self.fleet.prepaid_tokens - self.fleet.spent_tokens
 
     async def _stop_in_turn(self) -> None:
@@ -84,7 +84,7 @@
                 await anyio.sleep(1.5)
 
     async def _stop(self, address: str) -> None:
-        await self.fleet.restart(address, down_s=0.7, gives_back=True)
+        await self.fleet.restart(address, down_s=0.7, is_graceful=True)
 
     async def _kill(self, address: str) -> None:
         await self.fleet.restart(address, down_s=0.8)
@@ -94,25 +94,25 @@
     """Return the part served of what is asked after the recovery and could be paid for then."""
     day = _Day(BudgetFleet(3, 2, paid_tokens), seed)
     run_in_virtual_time(day.run)
-    asked = day.fleet.counts["asked"] - day.before["asked"]
-    served = day.fleet.counts["served"] - day.before["served"]
+    asked = day.fleet.counts["asked"] - day.counts_at_recovery["asked"]
+    served = day.fleet.counts["served"] - day.counts_at_recovery["served"]
     return served / min(asked, day.unspent_tokens / _USED_TOKENS)
 
 
 class TestRecovery:
-    def test_stops_in_an_outage_and_a_death_of_all(self) -> None:
+    def test_serves_after_stops_in_an_outage_and_kill_of_all(self) -> None:
         """Symptom, sequence and cause: see above. Far more is asked than was paid for."""
-        assert _served_share(_TOO_FEW_PAID_TOKENS, seed=1) >= _LEAST_SERVED_SHARE
+        assert _served_share(_SCARCE_PAID_TOKENS, seed=1) >= _MIN_SERVED_SHARE
 
     @pytest.mark.parametrize("seed", [1, 2, 3, 4])
-    def test_the_same_with_nearly_all_paid_for(self, seed: int) -> None:
+    def test_serves_when_demand_is_nearly_paid_for(self, seed: int) -> None:
         """Symptom, sequence and cause: see above. What is asked is about what was paid for.
 
         Before stopped instances left their tokens to a peer 0, 10, 36 and 10 % were served.
         """
-        assert _served_share(_ENOUGH_PAID_TOKENS, seed) >= _LEAST_SERVED_SHARE
+        assert _served_share(_AMPLE_PAID_TOKENS, seed) >= _MIN_SERVED_SHARE
 
     @pytest.mark.parametrize("seed", [5, 11, 14, 17, 18])
-    def test_the_same_with_other_callers(self, seed: int) -> None:
+    def test_serves_for_seeds_that_failed(self, seed: int) -> None:
         """Symptom, sequence and cause: see above. Of seeds 1 to 20 these five served too few."""
-        assert _served_share(_ENOUGH_PAID_TOKENS, seed) >= _LEAST_SERVED_SHARE
+        assert _served_share(_AMPLE_PAID_TOKENS, seed) >= _MIN_SERVED_SHARE
--- a/mothstand/tests/test_requests.py
+++ b/mothstand/tests/test_requests.py
@@ -42,7 +42,7 @@
 
 
 @pytest.fixture(autouse=True)
-def _mend(fleet: Fleet) -> None:
+def _clear_faults(fleet: Fleet) -> None:
     for name in (*ENGINES, "renewer-a", "formatter-a", "platform"):
         fleet.set_faults(name, mode="ok")
 
@@ -78,7 +78,7 @@
         last = json.loads(answer.text.strip().splitlines()[-1].removeprefix("data: "))
         assert last["error"]["run_state"] == "may have run"
 
-    def test_crossed_event_does_not_reach_the_caller(self, fleet: Fleet) -> None:
+    def test_event_of_another_answer_does_not_reach_caller(self, fleet: Fleet) -> None:
         """Symptom: a student gets a piece of another's answer.
 
         Sequence: the engine sends a late event of another answer on this connection.
@@ -113,12 +113,12 @@
         wait_until(lambda: runs_of(fleet, "leaves early")[0]["state"] == "cancelled", "cancelled")
         assert runs_of(fleet, "leaves early")[0]["completion_tokens"] < 100
 
-    def test_full_engine_is_left_for_another(self, fleet: Fleet) -> None:
+    def test_request_refused_by_full_engine_goes_to_another(self, fleet: Fleet) -> None:
         fleet.set_faults("llm-a", mode="refuse")
         for number in range(6):
             assert chat(fleet.processes["sto-a-1"].url, prompt=f"p{number}").status_code == 200
 
-    def test_engine_that_crashed_may_have_run(self, fleet: Fleet) -> None:
+    def test_request_to_crashed_engines_may_have_run(self, fleet: Fleet) -> None:
         """Symptom: "not run" of a request that engines took and worked on.
 
         Sequence: each engine that is tried takes the request and fails without an answer.
@@ -129,7 +129,7 @@
         assert answer.json()["error"]["run_state"] == "may have run"
         assert len(runs_of(fleet, "crashes them all")) == 2
 
-    def test_dead_engine_is_no_upstream_and_not_run(self, fleet: Fleet) -> None:
+    def test_request_refused_by_all_engines_is_not_run(self, fleet: Fleet) -> None:
         set_engines(fleet, mode="refuse")
         answer = chat(fleet.processes["sto-a-1"].url, prompt="nobody there")
         assert answer.status_code == 503
@@ -139,7 +139,7 @@
 
 
 class TestPriority:
-    def test_priority_reaches_the_engine(self, fleet: Fleet) -> None:
+    def test_engine_gets_priority_of_workspace(self, fleet: Fleet) -> None:
         """Symptom: a workspace of high priority waits in the engine behind others.
 
         Sequence: a caller sets a priority of its own in the body.
@@ -151,7 +151,7 @@
 
 
 class TestKeys:
-    def test_retry_gets_the_kept_answer(self, fleet: Fleet) -> None:
+    def test_retry_gets_retained_answer(self, fleet: Fleet) -> None:
         url = fleet.processes["sto-a-1"].url
         first = chat(url, prompt="kept", idempotency_key="k-kept")
         again = chat(url, prompt="kept", idempotency_key="k-kept")
@@ -159,7 +159,7 @@
         assert first.content == again.content
         assert len(runs_of(fleet, "kept")) == 1
 
-    def test_retry_through_another_instance_joins(self, fleet: Fleet) -> None:
+    def test_retry_at_another_instance_joins_running_answer(self, fleet: Fleet) -> None:
         """Symptom: a doubled reply inserts an entry twice.
 
         Sequence: a slow answer runs at one instance, its caller asks again at the other.
@@ -195,14 +195,14 @@
         assert answer.json()["error"]["code"] == "key_reused"
         assert runs_of(fleet, "other") == []
 
-    def test_caller_that_left_finds_its_answer(self, fleet: Fleet) -> None:
+    def test_disconnected_caller_gets_answer_on_retry(self, fleet: Fleet) -> None:
         set_engines(fleet, mode="ok", token_delay_s=0.4)
         url = fleet.processes["sto-a-1"].url
         options: Any = {"prompt": "came back", "idempotency_key": "k-back", "stream": True}
         with pytest.raises(httpx.TimeoutException):
             chat(url, timeout_s=0.2, tokens_wanted=4, **options)
         answer = chat(url, tokens_wanted=4, **options)
-        assert read_answer(200, answer.text, stream=True)["got"] is CallOutcome.WHOLE
+        assert read_answer(200, answer.text, stream=True)["got"] is CallOutcome.COMPLETE
         assert len(runs_of(fleet, "came back")) == 1
 
 
@@ -253,7 +253,7 @@
         wait_until(renewed, "the key is free again")
         assert effects_of(fleet, "pass 3") == 1
 
-    def test_platform_out_refuses_as_not_run(self, fleet: Fleet) -> None:
+    def test_call_during_platform_outage_is_refused_as_not_run(self, fleet: Fleet) -> None:
         """Symptom: a renewal runs in two data centres that cannot see each other.
 
         Sequence: the log is out, a clerk sends a renewal.
@@ -274,7 +274,9 @@
         wait_until(renewed, "the claim that came late was released")
         assert effects_of(fleet, "pass 4") == 1
 
-    def test_router_dies_while_the_renewal_runs(self, empty_fleet: Fleet, tmp_path: Path) -> None:
+    def test_call_does_not_run_again_after_its_instance_is_killed(
+        self, empty_fleet: Fleet, tmp_path: Path
+    ) -> None:
         """Symptom: a pass is renewed twice after a router died.
 
         Sequence: a router dispatches a renewal and is killed, the clerk retries at another one.
@@ -310,16 +312,16 @@
         assert effects_of(fleet, "p") == 1
 
 
-class TestLeaving:
-    def test_upstream_said_to_leave_gets_nothing_new(self, fleet: Fleet) -> None:
+class TestDraining:
+    def test_draining_upstream_gets_no_new_requests(self, fleet: Fleet) -> None:
         """Symptom: a leaving upstream gets new work and cuts it.
 
         Sequence: the platform's list says that an engine leaves.
         Cause it guards against: routing by the configuration alone.
         """
         listed = httpx.get(f"{fleet.platform.url}/instances", trust_env=False).json()
-        leaving = {"name": "llm-a", "address": "", "data_centre": "sto-a", "leaving": True}
-        httpx.post(f"{fleet.platform.url}/instances", json=[*listed, leaving], trust_env=False)
+        draining = {"name": "llm-a", "address": "", "data_centre": "sto-a", "leaving": True}
+        httpx.post(f"{fleet.platform.url}/instances", json=[*listed, draining], trust_env=False)
         time.sleep(2.5)
         before = len(fleet.journal("llm-a"))
         for number in range(12):
--- a/mothstand/tests/test_resume.py
+++ b/mothstand/tests/test_resume.py
@@ -36,7 +36,7 @@
     return empty_fleet
 
 
-def streamed(fleet: Fleet, **extra: Any) -> tuple[dict[str, Any], str]:
+def stream_answer(fleet: Fleet, **extra: Any) -> tuple[dict[str, Any], str]:
     """Return what a caller makes of a stream of 16 tokens, and the stream itself."""
     answer = chat(
         fleet.processes["sto-a-1"].url,
@@ -49,7 +49,7 @@
     return read_answer(answer.status_code, answer.text, stream=True), answer.text
 
 
-def second_tries(fleet: Fleet) -> list[dict[str, Any]]:
+def second_attempts(fleet: Fleet) -> list[dict[str, Any]]:
     """Return the journal lines of requests that an earlier engine has failed."""
     runs = [entry for name in ENGINES for entry in fleet.journal(name)]
     return [entry for entry in runs if entry["request_id"].endswith("/2")]
@@ -57,7 +57,7 @@
 
 class TestResume:
     @pytest.mark.parametrize("mode", ["truncate", "cross"])
-    def test_another_engine_goes_on(self, fleet: Fleet, mode: str) -> None:
+    def test_another_engine_continues_the_stream(self, fleet: Fleet, mode: str) -> None:
         """Symptom: a student has half a bibliography, or a piece of another's.
 
         Sequence: the engine that affinity chooses breaks off, or sends an event of another answer.
@@ -65,23 +65,23 @@
         """
         fleet.set_faults("llm-a", mode=mode)
         fleet.set_faults("llm-b", mode=mode)
-        got, text = streamed(fleet)
-        assert got["got"] is CallOutcome.WHOLE, text
+        got, text = stream_answer(fleet)
+        assert got["got"] is CallOutcome.COMPLETE, text
         assert got["text"] == "".join(answer_tokens(PROMPT, 16))
         assert got["usage_tokens"] == len(PROMPT.split()) + 16
-        assert second_tries(fleet), "the first engine did not fail"
+        assert second_attempts(fleet), "the first engine did not fail"
         events = [line[6:] for line in text.splitlines() if line.startswith("data: {")]
         assert len({json.loads(event)["id"] for event in events}) == 1
 
-    def test_all_engines_fail(self, fleet: Fleet) -> None:
+    def test_stream_breaks_when_all_engines_fail(self, fleet: Fleet) -> None:
         for name in ENGINES:
             fleet.set_faults(name, mode="truncate")
-        got, text = streamed(fleet)
+        got, text = stream_answer(fleet)
         assert got["got"] is CallOutcome.BROKEN
         assert "[DONE]" not in text
         assert "".join(answer_tokens(PROMPT, 16)).startswith(got["text"])
 
-    def test_answer_under_a_grammar_is_not_gone_on_with(self, fleet: Fleet) -> None:
+    def test_answer_under_a_grammar_is_not_continued(self, fleet: Fleet) -> None:
         """Symptom: two halves of JSON that make no whole.
 
         Sequence: an answer in a response format is cut, an engine goes on under a new grammar.
@@ -89,10 +89,10 @@
         """
         for name in ENGINES:
             fleet.set_faults(name, mode="truncate")
-        streamed(fleet, response_format={"type": "json_object"})
-        assert second_tries(fleet) == []
+        stream_answer(fleet, response_format={"type": "json_object"})
+        assert second_attempts(fleet) == []
 
-    def test_killed_engine_under_load(self, fleet: Fleet) -> None:
+    def test_streams_complete_when_an_engine_is_killed_under_load(self, fleet: Fleet) -> None:
         """Symptom: answers break off, or are billed twice or for both engines' prompts.
 
         Sequence: callers stream from three engines, one is killed.
@@ -103,14 +103,14 @@
             time.sleep(1.0)
             fleet.processes["llm-a"].kill()
             time.sleep(1.5)
-        assert {record.outcome for record in load.records} == {CallOutcome.WHOLE}
+        assert {record.outcome for record in load.records} == {CallOutcome.COMPLETE}
         for record in load.records:
             assert record.text == "".join(answer_tokens(record.prompt, 16))
-        wait_until(lambda: len(billed(fleet)) > len(load.records), "bills")
-        bills = billed(fleet)
+        wait_until(lambda: len(billed_tokens(fleet)) > len(load.records), "bills")
+        bills = billed_tokens(fleet)
         assert {r.request_id: r.usage_tokens for r in load.records}.items() <= bills.items()
 
 
-def billed(fleet: Fleet) -> dict[str, int]:
+def billed_tokens(fleet: Fleet) -> dict[str, int]:
     """Return the billed tokens of each request."""
     return {line.request_id: line.tokens for line in view_of(fleet).bills.lines.values()}
--- a/mothstand/tests/test_retry_histories.py
+++ b/mothstand/tests/test_retry_histories.py
@@ -10,46 +10,48 @@
 _SEEDS = range(12)
 
 
-def broken_seeds(troubles: Disruption, *, instances: int = 6) -> list[int]:
-    histories = [RetryHistory(seed, troubles, instances=instances) for seed in _SEEDS]
-    return [history.seed for history in histories if history.run().is_broken]
+def seeds_exceeding_budget(disruptions: Disruption, *, instances: int = 6) -> list[int]:
+    histories = [RetryHistory(seed, disruptions, instances=instances) for seed in _SEEDS]
+    return [history.seed for history in histories if history.run().exceeds_budget]
 
 
 class TestRetryHistories:
-    def test_windows_of_the_instances_that_do_not_lie_alike(self) -> None:
+    def test_budget_holds_when_load_moves_between_instances(self) -> None:
         # Guards against retries paid for by requests that the fleet's window does not have.
-        assert broken_seeds(Disruption.JUMPS) + broken_seeds(Disruption.NONE) == []
+        assert (
+            seeds_exceeding_budget(Disruption.JUMPS) + seeds_exceeding_budget(Disruption.NONE) == []
+        )
 
-    def test_restarts_in_series(self) -> None:
+    def test_budget_holds_when_instances_restart_repeatedly(self) -> None:
         # Guards against a start that has its part of the burst anew within the same window.
-        assert broken_seeds(Disruption.KILLS) == []
+        assert seeds_exceeding_budget(Disruption.KILLS) == []
 
-    def test_store_away_from_the_start(self) -> None:
+    def test_budget_holds_when_store_is_unreachable(self) -> None:
         # Guards against an instance that takes itself for the whole fleet.
-        assert broken_seeds(Disruption.STORE_AWAY) == []
+        assert seeds_exceeding_budget(Disruption.STORE_AWAY) == []
 
-    def test_instances_that_are_added(self) -> None:
+    def test_budget_holds_when_instances_are_added(self) -> None:
         # Guards against parts of the burst that newcomers take before others give them up.
-        assert broken_seeds(Disruption.ADDED) == []
+        assert seeds_exceeding_budget(Disruption.ADDED) == []
 
-    def test_processes_that_hang(self) -> None:
+    def test_budget_holds_when_processes_freeze(self) -> None:
         # Guards against requests that count as sent when a process woke and read them.
-        assert broken_seeds(Disruption.FREEZES) == []
+        assert seeds_exceeding_budget(Disruption.FREEZES) == []
 
     @pytest.mark.parametrize("instances", [6, 18])
-    def test_all_troubles_at_once(self, instances: int) -> None:
-        assert broken_seeds(ALL_DISRUPTIONS, instances=instances) == []
+    def test_budget_holds_with_all_disruptions(self, instances: int) -> None:
+        assert seeds_exceeding_budget(ALL_DISRUPTIONS, instances=instances) == []
 
     @pytest.mark.parametrize(
         ("plant", "troubles"),
         [
-            (InjectedFault.OWN_WINDOW, Disruption.NONE),
+            (InjectedFault.COUNTS_ONE_WINDOW, Disruption.NONE),
             (InjectedFault.FORGETS_RETRIES, Disruption.KILLS),
-            (InjectedFault.BELIEVES_FLEET, Disruption.STORE_AWAY),
+            (InjectedFault.DIVIDES_BY_FLEET_SIZE, Disruption.STORE_AWAY),
             (InjectedFault.IGNORES_STALLS, Disruption.FREEZES),
-            (InjectedFault.TAKES_AT_ONCE, Disruption.STORE_AWAY | Disruption.ADDED),
+            (InjectedFault.USES_SHARE_AT_ONCE, Disruption.STORE_AWAY | Disruption.ADDED),
         ],
     )
-    def test_planted_faults_are_found(self, plant: InjectedFault, troubles: Disruption) -> None:
+    def test_injected_fault_is_found(self, plant: InjectedFault, troubles: Disruption) -> None:
         histories = (RetryHistory(seed, troubles, plant) for seed in range(24))
-        assert any(history.run().is_broken for history in histories)
+        assert any(history.run().exceeds_budget for history in histories)
--- a/mothstand/tests/test_store_witness.py
+++ b/mothstand/tests/test_store_witness.py
@@ -23,7 +23,7 @@
 from ..log.health import PlatformHealth
 from ..peers.failures import PeerError
 from ..platform.records import UPSTREAMS_STREAM, decode_upstream
-from ..testing.fakes import RETRIES, NoWitness, SilentPeers
+from ..testing.fakes import RETRIES, NoWitness, UnreachablePeers
 from ..testing.fleet import free_port
 from ..testing.memory_store import MemoryStore, StoreLink
 from ..testing.registrations import registration
@@ -37,7 +37,7 @@
 _CUT_S = 10.0
 
 
-class _Peers(SilentPeers):
+class _Peers(UnreachablePeers):
     """Peers by address, each with its reader of registrations."""
 
     def __init__(self) -> None:
@@ -110,10 +110,10 @@
         return run_in_virtual_time(run)
 
     def cut_me(self, is_cut: bool) -> None:
-        self.link.is_cut = is_cut
+        self.link.is_cut_off = is_cut
 
     def cut_all(self, is_cut: bool) -> None:
-        self.link.is_cut = self.peer_link.is_cut = is_cut
+        self.link.is_cut_off = self.peer_link.is_cut_off = is_cut
 
 
 def _member(name: str) -> Member:
--- a/mothstand/upstreams/client.py
+++ b/mothstand/upstreams/client.py
@@ -53,12 +53,12 @@
             pool=timing.connect_timeout_s,
         )
         limits = httpx.Limits(max_connections=None, max_keepalive_connections=512)
-        self._kept = httpx.AsyncClient(
+        self._pooled = httpx.AsyncClient(
             transport=AiohttpTransport(limits=limits), timeout=timeout, trust_env=False
         )
-        fresh = httpx.Limits(max_connections=None, max_keepalive_connections=0)
-        self._fresh = httpx.AsyncClient(
-            transport=AiohttpTransport(limits=fresh), timeout=timeout, trust_env=False
+        unpooled_limits = httpx.Limits(max_connections=None, max_keepalive_connections=0)
+        self._unpooled = httpx.AsyncClient(
+            transport=AiohttpTransport(limits=unpooled_limits), timeout=timeout, trust_env=False
         )
 
     @asynccontextmanager
@@ -69,7 +69,7 @@
         body: bytes,
         *,
         headers: dict[str, str],
-        once: bool = False,
+        at_most_once: bool = False,
     ) -> AsyncIterator[httpx.Response]:
         """Send a POST and give its response, body unread.
 
@@ -83,9 +83,9 @@
         NotRunError, MayHaveRunError
             Also while the caller reads the body inside the context.
         """
-        client = self._fresh if once else self._kept
+        client = self._unpooled if at_most_once else self._pooled
         headers = {**headers, LOAD_FORMAT_HEADER: LOAD_FORMAT}
-        if once:
+        if at_most_once:
             headers["connection"] = "close"
         url = f"http://{upstream.address}{path}"
         try:
@@ -98,5 +98,5 @@
 
     async def aclose(self) -> None:
         """Close all connections."""
-        await self._kept.aclose()
-        await self._fresh.aclose()
+        await self._pooled.aclose()
+        await self._unpooled.aclose()
--- a/mothstand/upstreams/orders.py
+++ b/mothstand/upstreams/orders.py
@@ -30,7 +30,7 @@
 class OrderOutcome(Enum):
     """What became of an order."""
 
-    TAKEN = "taken"
+    ACCEPTED = "taken"
     STALE = "refused as stale"
     BUSY = "refused as busy"
     UNKNOWN = "no answer"
@@ -44,7 +44,7 @@
     """Looks at engines and orders them."""
 
     @abstractmethod
-    async def look(self, engine: Upstream) -> EngineReport:
+    async def poll(self, engine: Upstream) -> EngineReport:
         """Return what an engine says of itself.
 
         Raises
@@ -72,7 +72,7 @@
 
 
 _OUTCOMES = {
-    202: OrderOutcome.TAKEN,
+    202: OrderOutcome.ACCEPTED,
     409: OrderOutcome.STALE,
     429: OrderOutcome.BUSY,
 }
@@ -90,7 +90,7 @@
     def __init__(self, timeout_s: float) -> None:
         self._http = httpx.AsyncClient(timeout=timeout_s, trust_env=False)
 
-    async def look(self, engine: Upstream) -> EngineReport:
+    async def poll(self, engine: Upstream) -> EngineReport:
         """Return what an engine says of itself."""
         try:
             answer = await self._http.get(f"http://{engine.address}{SETUP_PATH}")
