--- a/benchmarks/fleet_ledger.py
+++ b/benchmarks/fleet_ledger.py
@@ -76,8 +76,8 @@
     ) -> None:
         budgets = {name: Budget(name, "w", tokens) for name, tokens in paid.items()}
         upstreams = {
-            str(place): Upstream(place, UpstreamKind.ENGINE, "", place, ("m",), 1)
-            for place in DATA_CENTRES
+            str(data_centre): Upstream(data_centre, UpstreamKind.ENGINE, "", data_centre, ("m",), 1)
+            for data_centre in DATA_CENTRES
         }
         self.config = FleetConfig(budgets=budgets, upstreams=upstreams, escrow=policy)
         self.result = result
@@ -93,8 +93,8 @@
             self._paid_tokens[self._shard(name)][name] = tokens
         self._start_count = 0
         self.processes = {
-            f"{place}-{i}": self._start(f"{place}-{i}", place)
-            for place in DATA_CENTRES
+            f"{data_centre}-{i}": self._start(f"{data_centre}-{i}", data_centre)
+            for data_centre in DATA_CENTRES
             for i in (1, 2)
         }
 
@@ -366,8 +366,8 @@
 
     def __init__(self, paid: dict[BudgetName, int]) -> None:
         self._share_tokens = {
-            (place, name): tokens // len(DATA_CENTRES)
-            for place in DATA_CENTRES
+            (data_centre, name): tokens // len(DATA_CENTRES)
+            for data_centre in DATA_CENTRES
             for name, tokens in paid.items()
         }
         self._stranded_tokens = 0
--- a/benchmarks/in_force.py
+++ b/benchmarks/in_force.py
@@ -52,7 +52,7 @@
     """Return the seconds that each change took to be in force everywhere."""
     with tempfile.TemporaryDirectory() as temporary, Fleet(Path(temporary)) as fleet:
         fleet.start_platform()
-        names = [f"sto-{place}-{i}" for place in "abc" for i in range(per_data_centre)]
+        names = [f"sto-{letter}-{i}" for letter in "abc" for i in range(per_data_centre)]
         for name in names:
             fleet.start_instance(name, name[:5], is_listed=False)
         fleet.publish_list()
--- a/benchmarks/orders.py
+++ b/benchmarks/orders.py
@@ -82,7 +82,7 @@
         return self.figures
 
     def _run_round(self, config: ConfigState, now_s: float) -> None:
-        loading = sum(found.report(now_s).is_loading for found in self._engines.values())
+        loading = sum(fake.report(now_s).is_loading for fake in self._engines.values())
         self.figures.max_loading = max(self.figures.max_loading, loading)
         alive = [name for name in self._planners if name != self._paused_instance]
         for name in alive:
@@ -106,9 +106,9 @@
 
     def _is_done(self, now_s: float) -> bool:
         return not self._delayed_orders and all(
-            found.report(now_s).setup == desired_setup(self._new_state.config, found.upstream)
-            and not found.loads
-            for found in self._engines.values()
+            fake.report(now_s).setup == desired_setup(self._new_state.config, fake.upstream)
+            and not fake.loads
+            for fake in self._engines.values()
         )
 
 
--- a/benchmarks/routing.py
+++ b/benchmarks/routing.py
@@ -23,7 +23,7 @@
 
 from .engine_model import STEP_S, Engine, EngineSize, Work
 
-DATA_CENTRES = tuple(DataCentre(f"sto-{place}") for place in "abc")
+DATA_CENTRES = tuple(DataCentre(f"sto-{letter}") for letter in "abc")
 _INSTANCES_PER_DATA_CENTRE = 2
 _ENGINES_PER_DATA_CENTRE = 3
 _MODEL = "citation-7b"
@@ -242,10 +242,11 @@
         config = make_config()
         self.engines = {name: Engine() for name in config.upstreams}
         self._instances = {
-            place: [
-                chooser_class(place, config, self._rng) for _ in range(_INSTANCES_PER_DATA_CENTRE)
+            data_centre: [
+                chooser_class(data_centre, config, self._rng)
+                for _ in range(_INSTANCES_PER_DATA_CENTRE)
             ]
-            for place in DATA_CENTRES
+            for data_centre in DATA_CENTRES
         }
         self._owners: dict[int, tuple[Chooser, str]] = {}
         self._reports: deque[_DelayedReport] = deque()
--- a/examples/deployment.py
+++ b/examples/deployment.py
@@ -28,14 +28,14 @@
 
     Parameters
     ----------
-    engines_per_place
+    engines_per_data_centre
         Number of model runners in each data centre; of the plain service there is one.
     key
         A caller's key from the user's folder.
     """
 
-    places: tuple[str, ...]
-    engines_per_place: int
+    data_centres: tuple[str, ...]
+    engines_per_data_centre: int
     model: str
     service: str
     key: str
@@ -65,8 +65,8 @@
 def start_upstreams(fleet: Fleet, deployment: Deployment, folder: Path) -> None:
     """Start engines and services, then write their sections, which need the assigned ports."""
     lines = []
-    for data_centre in deployment.places:
-        for number in range(deployment.engines_per_place):
+    for data_centre in deployment.data_centres:
+        for number in range(deployment.engines_per_data_centre):
             name = f"llm-{data_centre}-{number}"
             engine = fleet.start_engine(name, data_centre, orders="fenced", load_s=0.2)
             lines.append(
@@ -86,7 +86,7 @@
 def start_instances(fleet: Fleet, deployment: Deployment) -> list[str]:
     """Start the entry instances and return their names."""
     names = []
-    for data_centre in deployment.places:
+    for data_centre in deployment.data_centres:
         for number in range(1, _INSTANCES_PER_DATA_CENTRE + 1):
             name = f"{data_centre}-{number}"
             fleet.start_instance(name, data_centre, listed=False)
