--- a/benchmarks/fleet_ledger.py
+++ b/benchmarks/fleet_ledger.py
@@ -40,7 +40,7 @@
     writers: dict[Shard, FakeWriter[LedgerRecord]] = field(default_factory=dict)
     read_offsets: dict[Shard, int] = field(default_factory=dict)
     dead_at_s: float | None = None
-    log_silent_s: float = 0.0
+    log_unreachable_s: float = 0.0
 
 
 class _NoWitnessMembership(FakeMembership):
@@ -106,7 +106,7 @@
         for process in self._live_processes():
             process.clock.advance(STEP_S)
             cut_since_s = self._cut_since_s.get(process.data_centre)
-            process.log_silent_s = 0.0 if cut_since_s is None else now_s - cut_since_s
+            process.log_unreachable_s = 0.0 if cut_since_s is None else now_s - cut_since_s
             for shard, node in process.nodes.items():
                 if cut_since_s is None:
                     self._read(process, shard)
@@ -207,7 +207,7 @@
             clock=clock,
             timing=TimingSection.model_validate({}),
             config=lambda: self.config,
-            log_unreachable_s=lambda: process.log_silent_s,
+            log_unreachable_s=lambda: process.log_unreachable_s,
             data_centre_count=lambda: len(DATA_CENTRES),
         )
         for number in range(SHARDS):
--- a/benchmarks/in_force.py
+++ b/benchmarks/in_force.py
@@ -67,7 +67,8 @@
     for per_data_centre in (2, 4, 8):
         percentiles_ms = quantiles([1000 * s for s in measure(per_data_centre, changes)], n=100)
         print(
-            f"{3 * per_data_centre} instances: p50 {percentiles_ms[49]:.0f} ms, p99 {percentiles_ms[98]:.0f} ms"
+            f"{3 * per_data_centre} instances: p50 {percentiles_ms[49]:.0f} ms,"
+            f" p99 {percentiles_ms[98]:.0f} ms"
         )
 
 
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -83,7 +83,8 @@
     recoveries = [measure(kept_cut_s) for _ in range(rounds)]
     for recovery in recoveries:
         print(
-            f"kill to first answer {recovery.after_kill_s:.1f} s, heal to all {recovery.after_heal_s:.1f} s"
+            f"kill to first answer {recovery.after_kill_s:.1f} s,"
+            f" heal to all {recovery.after_heal_s:.1f} s"
         )
     print(
         f"worst: {max(recovery.after_kill_s for recovery in recoveries):.1f} s, "
--- a/benchmarks/routing.py
+++ b/benchmarks/routing.py
@@ -59,7 +59,7 @@
 
 
 class Chooser(ABC):
-    """Interface of what chooses engines for one instance."""
+    """Interface for choosing engines on behalf of one instance."""
 
     def __init__(self, data_centre: DataCentre, config: FleetConfig, rng: random.Random) -> None:
         self.data_centre = data_centre
@@ -212,7 +212,8 @@
         """
         first_tokens_ms = self.first_tokens_ms
         return (
-            f"hits {self.hits_percent:5.1f} %  first token p50 {first_tokens_ms[len(first_tokens_ms) // 2]:6.0f}"
+            f"hits {self.hits_percent:5.1f} %"
+            f"  first token p50 {first_tokens_ms[len(first_tokens_ms) // 2]:6.0f}"
             f" p95 {first_tokens_ms[len(first_tokens_ms) * 95 // 100]:6.0f} ms"
             f"  in time {self.answers_in_time / seconds:5.1f}/s"
             f"  spread {mean(self.spreads):4.2f}"
--- a/examples/deployment.py
+++ b/examples/deployment.py
@@ -89,7 +89,7 @@
     for data_centre in deployment.data_centres:
         for number in range(1, _INSTANCES_PER_DATA_CENTRE + 1):
             name = f"{data_centre}-{number}"
-            fleet.start_instance(name, data_centre, listed=False)
+            fleet.start_instance(name, data_centre, is_listed=False)
             names.append(name)
     fleet.publish_list()
     return names
