--- a/benchmarks/escrow.py
+++ b/benchmarks/escrow.py
@@ -49,7 +49,7 @@
     Parameters
     ----------
     budget_hours
-        Hours of demand that each budget covers; a small one is used up within the run.
+        Hours of demand that each budget covers; budgets of few hours end within the run.
     """
 
     name: str
@@ -171,7 +171,7 @@
 def main(
     user: str = "kallhanvisa", scale: float = 1.0, skew: float = 0.34, only: str = "", **policy: int
 ) -> None:
-    """Print the table.
+    """Print a row for each scenario and kind of ledger.
 
     Parameters
     ----------
