--- a/benchmarks/fleet_ledger.py
+++ b/benchmarks/fleet_ledger.py
@@ -1,4 +1,4 @@
-"""The product's ledger, and the even split as a baseline, as `world.Ledger`."""
+"""Implementations of `world.Ledger`: mothstand's ledger and an even split as the baseline."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True)
 class _Process:
-    """One instance of the fleet: its nodes, and what it believes."""
+    """A simulated instance: its shard nodes and its membership view."""
 
     member: Member
     data_centre: DataCentre
@@ -40,14 +40,14 @@
     writers: dict[Shard, FakeWriter[LedgerRecord]] = field(default_factory=dict)
     read_offsets: dict[Shard, int] = field(default_factory=dict)
     dead_at_s: float | None = None
-    log_silent_s: float = 0.0
+    log_unreachable_s: float = 0.0
 
 
 class _NoWitnessMembership(FakeMembership):
-    """Sees the others alive but takes none for a witness."""
+    """Membership view in which a leaseholder finds no other instance for a witness."""
 
     def local_alive(self, now_s: float) -> dict[str, Member]:
-        """Return this one, and the others only while this one is not the first."""
+        """Return only the instance that is first by name."""
         alive = super().local_alive(now_s)
         first = min(alive)
         return (
@@ -58,12 +58,12 @@
 
 
 class FleetLedger(Ledger):
-    """The product's ledger.
+    """Mothstand's ledger with simulated instances, peers and logs.
 
     Parameters
     ----------
     witnessed
-        Whether epochs get witnesses; without, a kill writes the grant off.
+        Whether epochs have witnesses; without a witness, a kill writes off the grant.
     """
 
     def __init__(
@@ -76,8 +76,8 @@
     ) -> None:
         budgets = {name: Budget(name, "w", tokens) for name, tokens in paid.items()}
         upstreams = {
-            str(place): Upstream(place, UpstreamKind.ENGINE, "", place, ("m",), 1)
-            for place in DATA_CENTRES
+            str(data_centre): Upstream(data_centre, UpstreamKind.ENGINE, "", data_centre, ("m",), 1)
+            for data_centre in DATA_CENTRES
         }
         self.config = FleetConfig(budgets=budgets, upstreams=upstreams, escrow=policy)
         self.result = result
@@ -93,20 +93,20 @@
             self._paid_tokens[self._shard(name)][name] = tokens
         self._start_count = 0
         self.processes = {
-            f"{place}-{i}": self._start(f"{place}-{i}", place)
-            for place in DATA_CENTRES
+            f"{data_centre}-{i}": self._start(f"{data_centre}-{i}", data_centre)
+            for data_centre in DATA_CENTRES
             for i in (1, 2)
         }
 
     def step(self, now_s: float) -> None:
-        """Read, act and append, for every live instance."""
+        """Read the log, act and append, for each live instance."""
         self._now_s = now_s
         self._replace_dead(now_s)
         self._update_memberships(now_s)
         for process in self._live_processes():
             process.clock.advance(STEP_S)
             cut_since_s = self._cut_since_s.get(process.data_centre)
-            process.log_silent_s = 0.0 if cut_since_s is None else now_s - cut_since_s
+            process.log_unreachable_s = 0.0 if cut_since_s is None else now_s - cut_since_s
             for shard, node in process.nodes.items():
                 if cut_since_s is None:
                     self._read(process, shard)
@@ -118,7 +118,7 @@
                 self._append(process)
 
     def reserve(self, request: Request, now_s: float) -> bool:
-        """Reserve at the data centre's leaseholder, or its promoted witness."""
+        """Reserve at the local leaseholder or promoted witness, else at a remote leaseholder."""
         shard = self._shard(request.budget)
         for process in self._live_processes(request.data_centre):
             node = process.nodes[shard]
@@ -133,7 +133,7 @@
         return False
 
     def settle(self, request: Request) -> None:
-        """Settle at whichever side takes it."""
+        """Settle at the first instance that accepts the ticket."""
         ticket = request.handle
         assert isinstance(ticket, Ticket)
         for process in self._live_processes(request.remote_holder or request.data_centre):
@@ -143,7 +143,7 @@
                 return
 
     def kill(self, data_centre: DataCentre, role: str) -> None:
-        """Kill the instance that leads (or witnesses) the most shards, or both."""
+        """Kill the instance that leads the most shards, the other one, or both."""
         live = self._live_processes(data_centre)
 
         def led_shards(process: _Process) -> int:
@@ -155,7 +155,7 @@
             process.dead_at_s = self._now_s
 
     def cut(self, data_centre: DataCentre, *, is_cut: bool, is_isolated: bool = False) -> None:
-        """Cut a data centre off from the platform, or join it again."""
+        """Cut a data centre off from the platform, or reconnect it."""
         if is_cut:
             self._cut_since_s[data_centre] = self._now_s
             if is_isolated:
@@ -165,17 +165,17 @@
             self._isolated.discard(data_centre)
 
     def top_up(self, tokens: dict[BudgetName, int]) -> None:
-        """Raise the paid totals of the configuration."""
+        """Add to the paid totals of the configuration."""
         for name, added_tokens in tokens.items():
             shard = self._shard(name)
-            # A new mapping: that is how a node sees that its totals have changed.
+            # A node detects changed totals by the identity of the mapping.
             self._paid_tokens[shard] = {
                 **self._paid_tokens[shard],
                 name: self._paid_tokens[shard][name] + added_tokens,
             }
 
     def stranded_tokens(self) -> int:
-        """Return what superseded epochs hold back, as the log tells it."""
+        """Return the tokens stranded in superseded epochs, by the log."""
         process = next(p for p in self._live_processes() if p.data_centre not in self._cut_since_s)
         return sum(
             process.nodes[self._shard(name)].state.fold.stranded_tokens(name)
@@ -207,7 +207,7 @@
             clock=clock,
             timing=TimingSection.model_validate({}),
             config=lambda: self.config,
-            log_unreachable_s=lambda: process.log_silent_s,
+            log_unreachable_s=lambda: process.log_unreachable_s,
             data_centre_count=lambda: len(DATA_CENTRES),
         )
         for number in range(SHARDS):
@@ -301,7 +301,7 @@
         return True
 
     def _reserve_remotely(self, node: ShardNode, request: Request) -> bool:
-        """Ask other data centres' leaseholders, where the log has less than is needed."""
+        """Reserve at a remote leaseholder if the log has fewer tokens than needed."""
         call = _make_call(node, request)
         if request.data_centre in self._isolated or not node.reserver.log_lacks_tokens(call):
             return False
@@ -316,14 +316,14 @@
                 self.result.reserved_remotely += 1
                 return True
             if not remote_node.reserver.log_lacks_tokens(call):
-                # It asks the log on behalf of this request, which is back in the next step.
+                # The remote holder asks for a grant; the request is retried in the next step.
                 self._ask_for_grant(remote_node, request)
                 request.waits_for_remote_grant = True
                 return False
         return False
 
     def _wait_for_grant(self, node: ShardNode, request: Request) -> bool:
-        """Wait for escrow, unless the ledger says that there is none to come; return False."""
+        """Ask for a grant, or end the wait if the ledger rules one out; return False."""
         if request.waits_for_remote_grant:
             request.waits_for_remote_grant = False
             return False
@@ -359,21 +359,21 @@
 
 
 class EvenSplitLedger(Ledger):
-    """Baseline: each data centre gets an equal share of every budget, once and for all.
+    """Baseline that gives each data centre a fixed, equal share of each budget.
 
-    The share lives in one instance's memory; when that dies, it is written off.
+    One instance holds the share in memory; the share is written off when that instance dies.
     """
 
     def __init__(self, paid: dict[BudgetName, int]) -> None:
         self._share_tokens = {
-            (place, name): tokens // len(DATA_CENTRES)
-            for place in DATA_CENTRES
+            (data_centre, name): tokens // len(DATA_CENTRES)
+            for data_centre in DATA_CENTRES
             for name, tokens in paid.items()
         }
         self._stranded_tokens = 0
 
     def step(self, now_s: float) -> None:
-        """Do nothing: nothing moves."""
+        """Do nothing, since shares are fixed."""
 
     def reserve(self, request: Request, now_s: float) -> bool:
         """Reserve from the data centre's share."""
@@ -385,13 +385,13 @@
         return True
 
     def settle(self, request: Request) -> None:
-        """Give back what was not used."""
+        """Return the unused tokens to the share."""
         key = (request.data_centre, request.budget)
         if self._share_tokens[key] >= 0 and request.handle == key:
             self._share_tokens[key] += request.bound_tokens - request.used_tokens
 
     def kill(self, data_centre: DataCentre, role: str) -> None:
-        """Write the data centre's shares off when their holder dies."""
+        """Write off the data centre's shares when their holder dies."""
         if role == "witness":
             return
         for key, tokens in self._share_tokens.items():
@@ -400,10 +400,10 @@
                 self._share_tokens[key] = -1
 
     def cut(self, data_centre: DataCentre, *, is_cut: bool, is_isolated: bool = False) -> None:
-        """Do nothing: a share needs no platform."""
+        """Do nothing, since shares don't depend on the platform."""
 
     def top_up(self, tokens: dict[BudgetName, int]) -> None:
-        """Add an equal share in each data centre that still holds its own."""
+        """Add an equal share in each data centre whose share is not written off."""
         for (data_centre, name), share_tokens in self._share_tokens.items():
             if share_tokens >= 0:
                 self._share_tokens[data_centre, name] = share_tokens + tokens[name] // len(
@@ -411,5 +411,5 @@
                 )
 
     def stranded_tokens(self) -> int:
-        """Return what was written off."""
+        """Return the tokens that were written off."""
         return self._stranded_tokens
--- a/benchmarks/in_force.py
+++ b/benchmarks/in_force.py
@@ -1,6 +1,6 @@
 """Time from publishing a change until it is in force on every instance.
 
-Run ``python -m benchmarks.in_force``: three data centres with two instances each, and more of them.
+Run ``python -m benchmarks.in_force``: three data centres with 2, 4 and 8 instances each.
 """
 
 from __future__ import annotations
@@ -49,10 +49,10 @@
 
 
 def measure(per_data_centre: int, changes: int) -> list[float]:
-    """Return the seconds of each change."""
+    """Return the seconds that each change took to be in force everywhere."""
     with tempfile.TemporaryDirectory() as temporary, Fleet(Path(temporary)) as fleet:
         fleet.start_platform()
-        names = [f"sto-{place}-{i}" for place in "abc" for i in range(per_data_centre)]
+        names = [f"sto-{letter}-{i}" for letter in "abc" for i in range(per_data_centre)]
         for name in names:
             fleet.start_instance(name, name[:5], is_listed=False)
         fleet.publish_list()
@@ -63,11 +63,12 @@
 
 
 def main(changes: int = 40) -> None:
-    """Print a line for each size of the fleet."""
+    """Print a line for each fleet size."""
     for per_data_centre in (2, 4, 8):
         percentiles_ms = quantiles([1000 * s for s in measure(per_data_centre, changes)], n=100)
         print(
-            f"{3 * per_data_centre} instances: p50 {percentiles_ms[49]:.0f} ms, p99 {percentiles_ms[98]:.0f} ms"
+            f"{3 * per_data_centre} instances: p50 {percentiles_ms[49]:.0f} ms,"
+            f" p99 {percentiles_ms[98]:.0f} ms"
         )
 
 
--- a/benchmarks/orders.py
+++ b/benchmarks/orders.py
@@ -1,7 +1,8 @@
-"""A new version of a model: how long until every engine of a data centre has it, with what orders.
+"""Rollout of a new model version to a data centre's engines: its duration, orders and polls.
 
-Run ``python -m benchmarks.orders``. Fake time; a load takes 30 s, instances look every 2 s. In the
-second half of the rows the first that orders is stopped for a minute, right after its decision.
+Run ``python -m benchmarks.orders``. It runs in fake time; a load takes 30 s and instances poll
+every 2 s. In the second half of the rows, the first instance that decides on an order is paused for
+a minute before it sends the order.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Size:
-    """Of a data centre: engines, instances, and how many engines may load at once."""
+    """Engines and instances of a data centre, and the limit of concurrent loads."""
 
     engines: int
     instances: int
@@ -30,7 +31,7 @@
 
 @dataclass(slots=True)
 class Figures:
-    """Of one change of version."""
+    """Duration, orders and polls of one version change."""
 
     seconds: float = 0.0
     orders: int = 0
@@ -39,7 +40,7 @@
 
 
 class VersionChange:
-    """One change of version."""
+    """Simulates one version change in a data centre."""
 
     def __init__(self, size: Size, *, pause: bool) -> None:
         kinds = (OrderCheck.FENCED, OrderCheck.UNFENCED)
@@ -61,7 +62,7 @@
         self.figures = Figures()
 
     def run(self) -> Figures:
-        """Run until all engines have the new version."""
+        """Run until all engines serve the new version."""
         now_s = 0.0
         while now_s < 60.0:
             self._run_round(self._old_state, now_s)
@@ -81,7 +82,7 @@
         return self.figures
 
     def _run_round(self, config: ConfigState, now_s: float) -> None:
-        loading = sum(found.report(now_s).is_loading for found in self._engines.values())
+        loading = sum(fake.report(now_s).is_loading for fake in self._engines.values())
         self.figures.max_loading = max(self.figures.max_loading, loading)
         alive = [name for name in self._planners if name != self._paused_instance]
         for name in alive:
@@ -97,7 +98,7 @@
                 continue
             self.figures.orders += 1
             if self._is_pause_pending and not self._paused_instance:
-                # Stopped between its check and the send: the order arrives a minute late.
+                # Paused between its check and the send, so the order arrives a minute late.
                 self._paused_instance = name
                 self._delayed_orders.append(order)
                 return
@@ -105,9 +106,9 @@
 
     def _is_done(self, now_s: float) -> bool:
         return not self._delayed_orders and all(
-            found.report(now_s).setup == desired_setup(self._new_state.config, found.upstream)
-            and not found.loads
-            for found in self._engines.values()
+            fake.report(now_s).setup == desired_setup(self._new_state.config, fake.upstream)
+            and not fake.loads
+            for fake in self._engines.values()
         )
 
 
@@ -115,7 +116,7 @@
 
 
 def main() -> None:
-    """Print a row for each size, without and with a pause."""
+    """Print a row for each size, first without and then with a paused instance."""
     for pause in (False, True):
         for size in SIZES:
             figures = VersionChange(size, pause=pause).run()
