--- a/mothstand/operators/explain.py
+++ b/mothstand/operators/explain.py
@@ -50,7 +50,7 @@
 
     @property
     def unused_tokens(self) -> int:
-        """Claimed and received tokens that are neither spent, uncertain, reserved nor given."""
+        """Claimed and received tokens, less those spent, uncertain, reserved or given away."""
         unavailable_tokens = (
             self.spent_tokens + self.uncertain_tokens + self.reserved_tokens + self.given_tokens
         )
