--- a/mothstand/gateway/accounts.py
+++ b/mothstand/gateway/accounts.py
@@ -46,7 +46,7 @@
 #: successor can still prove which part of them was not spent; after the unlock nobody can.
 _RESTART_S = 1.5
 
-#: Time in which tokens move from other instances, or running requests release unused tokens.
+#: Time in which tokens usually arrive from other instances or are released by running requests.
 _RETRY_AFTER_S = 0.6
 
 
@@ -159,7 +159,10 @@
         )
 
     def _request_poll(self) -> Callable[[], bool]:
-        """Request a new poll of the store; return a function that tests whether it is over."""
+        """Request a new poll of the store.
+
+        Returns a function that tests whether the poll is over or the store fails.
+        """
         began_s = self._clock.monotonic_s()
         self.claim_manager.wake()
         return lambda: self.claim_manager.polled_s >= began_s or self._health.is_failing
@@ -283,7 +286,7 @@
             self._tasks = None
 
     def begin_stopping(self) -> None:
-        """Start to give back tokens that running requests don't need; no more are accepted."""
+        """Start to give back tokens that running requests don't need; no new requests follow."""
         for shard in self.shards:
             shard.claim_manager.begin_stopping()
 
@@ -308,7 +311,10 @@
                 await shard.borrower.hand_over()
 
     async def _wait_for_unlock(self, until_s: float) -> None:
-        """Wait for claims that unlock soon: until then no peer can get the tokens past a window."""
+        """Wait for claims that unlock soon.
+
+        Before the unlock the tokens past a claim's window cannot be handed over to a peer.
+        """
         unlocks_in_s = max(shard.claim_manager.unlocks_in_s() for shard in self.shards)
         ends_s = self._clock.monotonic_s() + unlocks_in_s
         if self._health.is_failing and unlocks_in_s <= _RESTART_S and ends_s <= until_s:
--- a/mothstand/gateway/borrowing.py
+++ b/mothstand/gateway/borrowing.py
@@ -23,8 +23,8 @@
 #: Seconds of this instance's demand that are requested in addition to waiting requests.
 _EXTRA_DEMAND_S = 2.0
 
-#: A loan whose answer was lost is requested again for this long. After that its tokens are lost,
-#: which overspends nothing.
+#: A loan whose answer was lost is requested again for this long. After that its tokens are lost if
+#: the peer deducted them, which overspends nothing.
 _RETRY_UNCONFIRMED_S = 30.0
 
 
@@ -153,8 +153,8 @@
     async def _send_handover(self, peer: Peer, handover: Handover) -> None:
         """Deduct tokens and hand them over, once.
 
-        Without an answer they are lost. If they were sent again, a restarted peer, which knows no
-        earlier loan ids, could add a second time what it had added and spent before.
+        Without an answer they may be lost. If they were sent again, a restarted peer, which knows
+        no earlier loan ids, could add a second time what it had added and spent before.
         """
         held = self._claim_manager.claims.held_budget(handover.budget)
         sent = replace(handover, tokens=held.give(handover.tokens))
@@ -238,8 +238,8 @@
             extra_tokens = self._extra_tokens(budget, now_s)
             request = LoanRequest(budget, priority, missing_tokens, extra_tokens, loan_id)
         else:
-            # No extra tokens: unused tokens of some 60 borrowers of a budget would add up to the
-            # requests that are refused near its end.
+            # No extra tokens: with some 60 borrowers per budget, their unused tokens would add up
+            # to what the last callers of the budget are refused.
             spent_tokens = self._pop_unreported_tokens(budget)
             request = LoanRequest(budget, priority, missing_tokens, 0, loan_id, True, spent_tokens)
         reply = await self._borrow_from(peer, request, now_s + _RETRY_UNCONFIRMED_S)
--- a/mothstand/gateway/call.py
+++ b/mothstand/gateway/call.py
@@ -72,7 +72,8 @@
         Upstream of the latest attempt, and the age of the registrations at that time; None if the
         store had never been read.
     known_crashes
-        Upstreams known to have crashed during the same request when the latest attempt began.
+        Number of upstreams that were known to have crashed during the same request when the latest
+        attempt began.
     is_connection_broken
         Whether the connection broke in the latest attempt.
     is_upstream_full
--- a/mothstand/gateway/claim_manager.py
+++ b/mothstand/gateway/claim_manager.py
@@ -164,10 +164,10 @@
         )
 
     def wanted_tokens(self, budget: BudgetName, priority: int) -> int:
-        """Return the tokens needed to serve all waiting requests up to a priority.
+        """Return the tokens to hold for serving all waiting requests up to a priority.
 
         Includes the tokens withheld for higher priorities. Otherwise a request would get as many
-        tokens as it asked for and still be refused.
+        tokens as it asked for, and still be refused although enough tokens are held.
         """
         needed = sum(
             tokens for p, tokens in self.waiting_tokens_by_priority(budget).items() if p <= priority
@@ -175,7 +175,7 @@
         return needed + self.withheld_tokens(budget, priority)
 
     def _waiting_tokens(self, budget: BudgetName) -> int:
-        """Return the tokens needed to serve all waiting requests."""
+        """Return the tokens to hold for serving all waiting requests."""
         waiting = [p for p, tokens in self.waiting_tokens_by_priority(budget).items() if tokens > 0]
         return self.wanted_tokens(budget, max(waiting)) if waiting else 0
 
@@ -205,8 +205,9 @@
     def begin_stopping(self) -> None:
         """Lower claims to the maximum that running requests need, from now on, at each poll.
 
-        At the end of a stop only a fraction of a second is left for that. With a store that takes
-        0.3 s per call it was too short, and the tokens of the stopped instance were lost.
+        If this began at the end of a stop, only a fraction of a second would be left for it. That
+        was too short with a store that takes 0.3 s per call, and the tokens of the stopped
+        instance were lost.
         """
         self._is_stopping = True
         self.wake()
--- a/mothstand/gateway/crash_detector.py
+++ b/mothstand/gateway/crash_detector.py
@@ -77,7 +77,8 @@
     Parameters
     ----------
     known_crashes
-        Upstreams known to have crashed during the same request when the attempt began.
+        Number of upstreams that were known to have crashed during the same request when the attempt
+        began.
     """
 
     request_id: str
@@ -105,7 +106,7 @@
 
 
 class CrashDetector:
-    """Reports crashes of upstreams and the requests that were running.
+    """Detects crashes of upstreams and reports the requests whose connections broke there.
 
     A connection also breaks while the upstream keeps running: by a reset, a network partition, or
     a fault of one answer. A crash is therefore proven by a refused connection, or by the
--- a/mothstand/gateway/crash_guard.py
+++ b/mothstand/gateway/crash_guard.py
@@ -50,8 +50,8 @@
             if call.probe is not None and not (
                 self._has_probe_reached_upstream(call) and self._known_crashes(call)
             ):
-                # The probe reached no upstream, so another instance may send it, or it was
-                # answered.
+                # Either the probe reached no upstream, so that another instance may send it, or
+                # its answer has cleared the request.
                 self._feed.return_probe(call.probe)
 
     def is_quarantined(self, call: Call) -> bool:
--- a/mothstand/gateway/forward.py
+++ b/mothstand/gateway/forward.py
@@ -324,7 +324,7 @@
                         await finished.wait()
                 tasks.cancel_scope.cancel()
         except BaseException:
-            # The caller disconnected when the answer arrived, and nothing else would close it.
+            # The caller disconnected as the answer arrived; nothing else would close the answer.
             if isinstance(result, UpstreamAnswer):
                 result.close()
             raise
@@ -338,8 +338,8 @@
     def _acquire_early_retry(self, call: Call) -> bool:
         """Acquire a retry for a request that waits at an upstream; return whether that succeeded.
 
-        The retry is acquired before the request leaves its upstream, since all waiting requests
-        compete for the same few retries.
+        The retry is acquired before the request leaves its upstream. All waiting requests compete
+        for the same few retries, and one that left its upstream but got no retry would fail.
         """
         # Called ten times a second per waiting request, so no upstream is chosen here.
         upstreams = self._directory.accepting_upstreams(call.service)
--- a/mothstand/gateway/instance.py
+++ b/mothstand/gateway/instance.py
@@ -51,8 +51,9 @@
 #: Seconds between two checks whether a stop is over.
 _STOP_CHECK_INTERVAL_S = 0.1
 
-#: Seconds in which requests may still end when the process has to. With the library's default of
-#: a minute, the grace period would end first and the process be killed with its claims held.
+#: Seconds that running requests get to finish when the process must end. With the library's
+#: default of a minute, the grace period would end first and the process be killed with its claims
+#: held.
 _SHUTDOWN_TIMEOUT_S = 0.2
 
 _TASK_RESTART_DELAY_S = 0.2
@@ -307,7 +308,10 @@
 
 
 def _retry_settings(settings: GatewaySettings) -> RetryBudgetSettings:
-    """Return the fleet's retry budget; a request is sent for at most the sum of its timeouts."""
+    """Return the settings of the fleet's retry budget.
+
+    Sending a request takes at most the sum of its connect timeout and its answer timeout.
+    """
     retries = settings.retries
     timing = settings.timing
     delivery_s = timing.connect_timeout_s + timing.upstream_timeout_s
--- a/mothstand/gateway/ledger_records.py
+++ b/mothstand/gateway/ledger_records.py
@@ -90,7 +90,7 @@
     Raises
     ------
     ValueError
-        If the record is invalid; the message has its key.
+        If the record is invalid; the message contains its key.
     """
     try:
         if is_renewal(record):
--- a/mothstand/gateway/lending.py
+++ b/mothstand/gateway/lending.py
@@ -192,12 +192,12 @@
         """Return the connection, waiting for the running attempt if there is one.
 
         No call may cancel the attempt: that would cancel all calls that wait for it, and with them
-        the whole program.
+        the whole program, which treats such a cancellation as its own.
         """
         if self._connect_task is None or self._connect_task.done():
             connecting = asyncio.wait_for(super().__connect__(), MAX_CONNECT_S)
             self._connect_task = asyncio.create_task(connecting)
-            # Waiting calls get the exception; without any, it can be ignored.
+            # Waiting calls get the exception; if no call waits any more, it can be ignored.
             self._connect_task.add_done_callback(_consume_exception)
         protocol = await asyncio.shield(self._connect_task)
         self.has_connected = True
@@ -209,7 +209,7 @@
         return self._connect_task is not None and not self._connect_task.done()
 
     def close(self) -> None:
-        """Close the connection; a running attempt is closed when it ends."""
+        """Close the connection; that of a running attempt is closed when the attempt ends."""
         if self._connect_task is not None and not self._connect_task.done():
             self._connect_task.add_done_callback(lambda _: Channel.close(self))
         super().close()
--- a/mothstand/gateway/log_output.py
+++ b/mothstand/gateway/log_output.py
@@ -23,7 +23,6 @@
 #: Minimum seconds between two reports of the number of dropped lines.
 _DROPPED_REPORT_INTERVAL_S = 1.0
 
-
 #: The logger that `emit` writes to.
 _EVENT_LOGGER = "absl"
 
--- a/mothstand/gateway/member_feed.py
+++ b/mothstand/gateway/member_feed.py
@@ -79,7 +79,7 @@
     Raises
     ------
     ValueError
-        If the record is invalid; the message has its key.
+        If the record is invalid; the message contains its key.
     """
     try:
         value = _MemberValue.model_validate_json(record.value or b"")
@@ -144,8 +144,8 @@
     async def poll(self) -> None:
         """Read once, then announce this instance.
 
-        The announcement replaces that of an earlier start, by which a restarted instance knows
-        that the whole fleet is listed, so it has to be read first.
+        The order matters: a restarted instance knows from the announcement of its earlier start
+        that the whole fleet is listed, and announcing itself replaces that announcement.
         """
         await super().poll()
         await self._announce()
@@ -213,7 +213,7 @@
             self._on_change()
 
     def apply_second_hand(self, records: tuple[KeyedRecord, ...]) -> None:
-        """Apply a peer's announcements if the store has not been read yet; see `is_listed`."""
+        """Apply a peer's announcements, unless the store was listed: they may be older."""
         if not self.is_listed:
             for record in records:
                 self._apply_record(record, self._clock.monotonic_s())
--- a/mothstand/gateway/quarantine_feed.py
+++ b/mothstand/gateway/quarantine_feed.py
@@ -111,7 +111,7 @@
 
     @property
     def wait_s(self) -> float:
-        """Seconds that a read waits at the store for a record."""
+        """Seconds for which the store holds a read until there is a record."""
         return _READ_WAIT_S
 
     async def run(self) -> None:
@@ -172,7 +172,7 @@
         self._outbox.enqueue(KeyedRecord(probe_key(probe), None))
 
     def apply_listing(self, records: tuple[KeyedRecord, ...]) -> None:
-        """Replace the known crashes and probes by a complete listing."""
+        """Replace known crashes and probes by a listing; crashes not yet appended stay."""
         listed = {record.key for record in records}
         for key in list(self._known_crashes):
             if key not in listed and key not in self._outbox:
@@ -268,7 +268,7 @@
         return True
 
     async def _forget_expired(self) -> None:
-        """Drop expired crashes locally, and after a random delay from the store."""
+        """Drop crashes that expired or were too many, and later drop them from the store."""
         async with anyio.create_task_group() as tasks:
             while True:
                 await self._clock.sleep(_EXPIRY_CHECK_INTERVAL_S)
--- a/mothstand/gateway/server.py
+++ b/mothstand/gateway/server.py
@@ -41,7 +41,6 @@
 #: Idle timeout of connections that began before the first configuration.
 _INITIAL_IDLE_TIMEOUT_S = 75.0
 
-
 #: Maximum stack frames in the log line of an internal error.
 _MAX_FRAMES = 6
 
--- a/mothstand/gateway/upstream_client.py
+++ b/mothstand/gateway/upstream_client.py
@@ -153,8 +153,8 @@
         -----
         An upstream's machine accepts connections within some milliseconds. One that has not within
         the connect timeout is down, behind a network partition, or drops connections because it is
-        full. With the 0.8 s timeout of an open connection, the objective of most requests would
-        pass before another upstream is tried.
+        full. With the 0.8 s timeout of an open connection, the objective of most requests had
+        passed before another upstream was tried.
         """
         try:
             response = await self._http.request(
@@ -186,8 +186,8 @@
     def close_idle_connections(self, upstream: RegisteredUpstream) -> None:
         """Close the idle connections to an upstream that was deregistered or has restarted.
 
-        If it ended behind a network partition, no reset was received. The next request
-        on such a connection would break without having run, and would fail if it may run only once.
+        If it ended behind a network partition, no reset was received. The next request on such a
+        connection would break without having run, and would fail if it may run only once.
         """
         close_idle(self._connector, upstream.address)
 
--- a/mothstand/gateway/upstream_feed.py
+++ b/mothstand/gateway/upstream_feed.py
@@ -135,7 +135,7 @@
         self._notify_removed(before)
 
     def _log_end(self, upstream_id: str, retained_s: float, offset: int | None) -> None:
-        """Log the end of a registration, and whether its upstream is still used for a grace."""
+        """Log the end of a registration, and how long its upstream is still used, if at all."""
         if retained_s > 0:
             self._grace_event.set()
             emit(
@@ -148,7 +148,7 @@
             emit(Event.UPSTREAM_LEFT, upstream=upstream_id, offset=offset)
 
     async def _expire_after_grace(self) -> None:
-        """Drop upstreams when their grace ends.
+        """Drop upstreams when their grace period ends.
 
         The next read, which the store holds, may come up to 1.2 s later, and until then requests
         would go to a deregistered upstream.
