--- a/mothstand/core/admission.py
+++ b/mothstand/core/admission.py
@@ -1,9 +1,9 @@
 """Admission control that rejects a share of requests while all upstreams of a service are slow.
 
 In a burst, or after the loss of many upstreams, demand exceeds capacity. If all requests were
-admitted, they would wait in the upstreams' queues: every answer is late, many callers disconnect
-before their answer begins, and the prompts read for them are wasted. Rejecting a share of the
-requests on arrival, before they run, keeps the others fast.
+admitted, they would wait in the upstreams' queues: every answer would be late, many callers would
+disconnect before their answer begins, and the prompts read for them would be wasted. Rejecting a
+share of the requests on arrival, before they run, keeps the others fast.
 
 The input is the time that upstreams take to begin an answer, relative to the request's objective.
 Attempts without an answer are ignored: an unreachable upstream does not slow down the others.
@@ -32,8 +32,8 @@
 #: Decayed number of answers that a mean requires: one or two slow ones may be chance.
 _MIN_ANSWERS = 6.0
 
-#: Factor on the maximum relative delay for each priority level below the highest, so that lower
-#: priorities are rejected first, but none entirely.
+#: Factor on the maximum relative delay for each priority level below the highest one seen, so that
+#: lower priorities are rejected first, but none entirely.
 _PRIORITY_FACTOR = 0.85
 
 #: Range in seconds of the random time after which callers retry, so that they do not all retry at
--- a/mothstand/core/backoff.py
+++ b/mothstand/core/backoff.py
@@ -31,7 +31,7 @@
     def next_jittered_s(self) -> float:
         """Return `next_s` multiplied by a random factor from 0.5 to 1.5.
 
-        Without jitter, all instances would retry at the same moments after an outage.
+        Without the random factor, all instances would retry at the same times after an outage.
         """
         return self.next_s() * random.uniform(0.5, 1.5)
 
--- a/mothstand/core/burst_shares.py
+++ b/mothstand/core/burst_shares.py
@@ -35,8 +35,8 @@
     lease_s
         Time after the announcement during which its writer may use its part.
     may_have_used
-        Whether its writer has possibly used its part before it had read up to `read_to`. If so,
-        all instances that use a part have read its name.
+        Whether its writer possibly used its part before it had read up to `read_to`. If so, all
+        instances that use a part have read its name.
     """
 
     read_to: int
--- a/mothstand/core/claim_policy.py
+++ b/mothstand/core/claim_policy.py
@@ -35,9 +35,9 @@
         are served from the windows until an outage has lasted `renewals.UNLOCK_S`. The value is
         four seconds of the usual demand while two thirds of a budget remain.
     base_share, base_s
-        Part of the remaining tokens by which the fleet's bases exceed its usage, or this many
-        seconds of own demand if that is more: what is spent between two polls of the store. All of
-        it is lost when all instances die at once, and the opened part of the windows too.
+        Part of the remaining tokens by which the fleet's bases exceed its usage, or the seconds of
+        own demand that a base covers if that is more: what is spent between two polls of the store.
+        All of it is lost when all instances die at once, and the opened part of the windows too.
     initial_lifetime_s
         Before any demand was seen, a budget is assumed to last this long, with its demand spread
         evenly over the instances.
--- a/mothstand/core/claims.py
+++ b/mothstand/core/claims.py
@@ -102,10 +102,10 @@
     Parameters
     ----------
     max_tokens
-        Possibly consumed; these tokens are never given to another request.
+        Tokens that it possibly consumed; they are never given to another request.
     confirmed_tokens
-        Confirmed as consumed. If an upstream received a request and sent no event of an answer,
-        it cannot be determined whether the request ran.
+        Tokens that it is confirmed to have consumed. If an upstream received a request and sent no
+        event of an answer, it cannot be determined whether the request ran.
     """
 
     max_tokens: int
@@ -146,7 +146,8 @@
         Spent by borrowers, as reported by them.
     uncertain_tokens
         The part of `spent_tokens` that was possibly not consumed. It is neither written as spent
-        nor reported to lenders, because a refusal for a used-up budget relies on that sum.
+        nor reported to lenders, because a refusal for a used-up budget relies on the tokens
+        written as spent.
     """
 
     budget: BudgetName
@@ -230,7 +231,8 @@
     Parameters
     ----------
     condition_offset
-        The condition of the append. Once the stream has been read past it, the outcome is known.
+        Offset that is the condition of the append. Once the stream has been read past it, the
+        outcome is known.
     """
 
     condition_offset: int
@@ -264,7 +266,7 @@
         """Note that the table contains all records before an offset."""
         self.table.next_offset = max(self.table.next_offset, next_offset)
         self.unconfirmed_appends = [
-            d for d in self.unconfirmed_appends if d.condition_offset >= self.table.next_offset
+            a for a in self.unconfirmed_appends if a.condition_offset >= self.table.next_offset
         ]
         self._update_limits()
 
@@ -279,7 +281,7 @@
 
     def append_rejected(self, append: UnconfirmedAppend) -> None:
         """Note that an append is confirmed as not done."""
-        self.unconfirmed_appends = [d for d in self.unconfirmed_appends if d is not append]
+        self.unconfirmed_appends = [a for a in self.unconfirmed_appends if a is not append]
         self._update_limits()
 
     def fits(self, claims: tuple[Claim, ...], prepaid_tokens: dict[BudgetName, int]) -> bool:
@@ -294,7 +296,7 @@
 
     def _update_limits(self) -> None:
         for budget, held in self.held_budgets.items():
-            unconfirmed = [d.claims[budget] for d in self.unconfirmed_appends if budget in d.claims]
+            unconfirmed = [a.claims[budget] for a in self.unconfirmed_appends if budget in a.claims]
             claims = [self.table.claim(budget, self.holder), *unconfirmed]
             held.limit_tokens = min(claim.claimed_tokens for claim in claims)
             held.window_tokens = min(claim.window_tokens for claim in claims)
--- a/mothstand/core/config.py
+++ b/mothstand/core/config.py
@@ -94,7 +94,7 @@
 
     Parameters
     ----------
-    can_resume
+    resumes
         Whether it can continue an answer that another engine has begun.
     orders
         Whether the fleet orders which models it loads.
@@ -258,8 +258,8 @@
 
     def _decide(self, offset: int, record: ConfigPublished) -> Outcome:
         if record.base_offset != self.state.offset:
-            winner = self._author_of_accepted()
-            return refused(f"base {record.base_offset} is not {self.state.offset}, by {winner}")
+            author = self._author_of_accepted()
+            return refused(f"base {record.base_offset} is not {self.state.offset}, by {author}")
         sections = apply_changes(self.state.sections, record.changes)
         try:
             config = self._validate(sections)
@@ -280,12 +280,12 @@
 
 def lowered_budgets(old: FleetConfig, new: FleetConfig) -> list[str]:
     """Return an error message for each budget whose paid total decreased."""
-    sentences = []
+    messages = []
     for name, budget in new.budgets.items():
         prior = old.budgets.get(name)
         if prior is not None and budget.paid_tokens < prior.paid_tokens:
-            sentences.append(
+            messages.append(
                 f"budget {name}: paid_tokens {budget.paid_tokens} is below {prior.paid_tokens};"
                 " it is a running total and only goes up"
             )
-    return sentences
+    return messages
--- a/mothstand/core/fleet.py
+++ b/mothstand/core/fleet.py
@@ -143,8 +143,8 @@
     def lenders(self, shard: Shard) -> list[Peer]:
         """Return the other claimants of a shard to ask for loans, in order.
 
-        Claimants of this data centre come first. Otherwise the order differs between instances, so
-        that they don't all ask the same claimant first.
+        Claimants of this data centre come before remote ones. Within both groups the order differs
+        between instances, so that they do not all ask the same claimant first.
         """
         local_name = self.local_member.peer.instance
         others = [m for m in self.claimants(shard) if m.peer.instance != local_name]
--- a/mothstand/core/leadership.py
+++ b/mothstand/core/leadership.py
@@ -1,4 +1,4 @@
-"""Decision when an instance opens a ledger epoch, and with which witness.
+"""Decides when an instance opens a ledger epoch, and with which witness.
 
 Each instance of a data centre decides from the fold and its own membership view. If two instances
 both append an epoch, the fold accepts one.
@@ -57,9 +57,10 @@
       instance in rendezvous order opens one. The old witness comes before all others, since it can
       seal and close the old epoch.
     - If this instance holds an epoch whose witness is missing, unresponsive or stopping, and
-      another instance is alive: it opens the next epoch with that one as witness. The witness of
-      an open epoch never changes, because a holder with a new witness could spend what the old
-      witness has sealed and returned.
+      another instance is alive: it opens the next epoch with that one as witness. If no other
+      instance is alive, an epoch with a witness is followed by one without. The witness of an open
+      epoch never changes, because a holder with a new witness could spend what the old witness has
+      sealed and returned.
     """
     alive = membership.local_alive(now_s)
     state = fold.current_epoch(membership.data_centre)
--- a/mothstand/core/ledger_fold.py
+++ b/mothstand/core/ledger_fold.py
@@ -111,7 +111,7 @@
         return total
 
     def stranded_tokens(self, budget: BudgetName) -> int:
-        """Return the tokens that superseded epochs hold back without a report of their spend."""
+        """Return the tokens beyond the reported spend that superseded epochs may never return."""
         total = 0
         for state in self.stranded_epochs():
             grant = state.grants.get(budget)
@@ -257,8 +257,8 @@
             # that nothing was spent.
             return refused(f"author is not the epoch's {record.side.value}")
         if state.released:
-            # The declared spend is one sum for both sides; a side that closes now could not lower
-            # only its own part of it.
+            # The declared spend is one sum for both sides. A side that closes now reports only its
+            # own part, which cannot be separated from that sum.
             return refused(f"epoch {record.epoch} was released")
         self._adjust_consumed(state, sign=-1)
         self._apply_spends(state, record)
--- a/mothstand/core/placement.py
+++ b/mothstand/core/placement.py
@@ -104,7 +104,8 @@
         """
         candidates = [u for u in upstreams if u.upstream_id not in tried]
         healthy = [u for u in candidates if self._state(u).suspended_until_s <= now_s]
-        # If all are suspended, use them: refusing the request costs more than another failure.
+        # If all are suspended, use them: refusing a request because of a wrong suspension costs
+        # more than another failure.
         candidates = healthy or candidates
         if not candidates:
             return None
--- a/mothstand/core/quarantine.py
+++ b/mothstand/core/quarantine.py
@@ -7,8 +7,8 @@
 A request that only ran at upstreams which crashed for another reason must not be blocked. A
 complete answer distinguishes it: a request that crashes every upstream never has one, so a single
 answer clears it. A popular request runs at many upstreams at once and may lose several of them to
-one other cause. If all its crashes may share a cause, the quarantine waits for an answer first; if
-other upstreams crashed without it, too, it is soon probed.
+one other cause. If all its crashes may share a cause, the quarantine first waits for an answer. The
+request is soon probed in that case, and if other upstreams crashed without it at that time.
 """
 
 from __future__ import annotations
--- a/mothstand/core/renewals.py
+++ b/mothstand/core/renewals.py
@@ -22,9 +22,10 @@
     from .loans import Peer
 
 #: Seconds without contact to the store after which a process may spend its whole claims. Long
-#: enough that the successor on a machine without power for 3.5 s can prove a shorter gap, at three
-#: renewals per second: 0.35 s since the last one, and as much before and after for the renewals of
-#: others. Each additional second is one more in which an outage is served only from the windows.
+#: enough that the successor on a machine that was unavailable for 3.5 s can prove a shorter gap, at
+#: three renewals per second: 0.35 s since the last one, and as much before and after for the
+#: renewals of others. Each additional second is one more in which an outage is served only from the
+#: windows.
 UNLOCK_S = 4.5
 
 #: Seconds without contact to the store after which windows begin to open. Renewals are written
@@ -119,7 +120,7 @@
     def max_gap_s(
         self, last: Renewal, start: Renewal, started_wall_s: float, start_took_s: float
     ) -> float | None:
-        """Return a proven upper bound of the time without contact before a death, or None.
+        """Return a proven maximum of the time without the store before a death, or None.
 
         Parameters
         ----------
--- a/mothstand/core/routing.py
+++ b/mothstand/core/routing.py
@@ -67,7 +67,7 @@
     must_resume: bool = False
 
 
-#: Assumed duration of a request at an upstream that has not ended one yet.
+#: Assumed duration of a request at an upstream where none has ended yet.
 _FIRST_REQUEST_S = 1.0
 
 #: Weight of the latest request in the mean duration.
@@ -158,7 +158,10 @@
         if chosen is not None:
             return Success(chosen)
         remote_upstreams = (
-            u for place, found in by_data_centre.items() if place != self.data_centre for u in found
+            u
+            for data_centre, found in by_data_centre.items()
+            if data_centre != self.data_centre
+            for u in found
         )
         remote = self._usable(call, remote_upstreams, config, now_utc, now_s)
         chosen = self._best_remote(call, remote, now_s, no_local=not local)
@@ -269,9 +272,10 @@
         return _Candidate(upstream, health.in_flight * sharers, share - health.in_flight)
 
     def _max_waiting(self, upstream: Upstream, health: UpstreamHealth) -> int:
-        """Return the number of requests that may queue, so that each gets a slot in `max_queue_s`.
+        """Return the number of requests that may queue, so that each gets a slot in time.
 
-        A slot becomes free every `mean_request_s / slots` (Little's law).
+        The last one must get a slot within `max_queue_s`, and a slot becomes free every
+        `mean_request_s / slots` seconds (Little's law).
         """
         free_every_s = max(1e-3, health.mean_request_s) / upstream.slots
         return math.ceil(self.policy.max_queue_s / free_every_s)
--- a/mothstand/core/stream_check.py
+++ b/mothstand/core/stream_check.py
@@ -120,14 +120,14 @@
         )
 
     def closing_events(self, *, wants_usage: bool) -> bytes:
-        """Return the events that end a complete answer whose engine crashed."""
+        """Return the events that end a complete answer whose stream broke before its end."""
         events: list[dict[str, Any]] = []
         if not self.is_finished:
             choice = {"index": 0, "delta": {}, "finish_reason": "length"}
             events.append({**self.common_fields, "choices": [choice]})
         if wants_usage and self.usage is not None:
             events.append({**self.common_fields, "choices": [], "usage": self.usage.as_json()})
-        return b"".join(_event(event) for event in events) + _END_MARKER + _EVENT_END
+        return b"".join(_encode_event(event) for event in events) + _END_MARKER + _EVENT_END
 
     def add_event(self, value: dict[str, Any]) -> None:
         """Add an event that is sent to the caller."""
@@ -277,8 +277,8 @@
         for choice in value.get("choices") or ():
             if isinstance(choice, dict) and isinstance(choice.get("delta"), dict):
                 choice["delta"].pop("role", None)
-        return _event(value)
+        return _encode_event(value)
 
 
-def _event(value: dict[str, Any]) -> bytes:
+def _encode_event(value: dict[str, Any]) -> bytes:
     return _DATA_FIELD + b" " + to_json(value) + _EVENT_END
--- a/mothstand/core/upstreams.py
+++ b/mothstand/core/upstreams.py
@@ -138,7 +138,7 @@
         self.upstreams.pop(upstream_id, None)
 
     def remove(self, upstream_id: str, now_s: float) -> float:
-        """Drop an upstream without registration, at once or after the grace that follows an outage.
+        """Drop a deregistered upstream, at once or after the grace that follows an outage.
 
         Returns
         -------
