--- a/mothstand/core/claim_policy.py
+++ b/mothstand/core/claim_policy.py
@@ -71,7 +71,7 @@
     waiting_tokens
         Sum of the bounds of requests that wait for tokens now.
     demand_tokens_per_s
-        Own demand.
+        Demand of the callers of this instance.
     other_demands_tokens_per_s
         Demand of the other live holders, from their latest claims.
     other_holders_unspent_tokens
--- a/mothstand/core/priority_reserve.py
+++ b/mothstand/core/priority_reserve.py
@@ -54,7 +54,7 @@
         )
 
     def withheld_tokens(self, higher_priority_tokens_per_s: float) -> int:
-        """Return how many of the tokens that may be spent now must be left.
+        """Return how many spendable tokens must be left for higher priorities.
 
         These must last until the locked tokens unlock, and both together until the end of the
         shortage. Without counting the locked tokens, requests would be refused in the first
--- a/mothstand/core/renewals.py
+++ b/mothstand/core/renewals.py
@@ -21,14 +21,14 @@
 if TYPE_CHECKING:
     from .loans import Peer
 
-#: Seconds without contact to the store after which a process may spend its whole claims. Long
+#: Seconds without contact with the store after which a process may spend its whole claims. Long
 #: enough that the successor on a machine that was unavailable for 3.5 s can prove a shorter gap, at
 #: three renewals per second: 0.35 s since the last one, and as much before and after for the
 #: renewals of others. Each additional second is one more in which an outage is served only from the
 #: windows.
 UNLOCK_S = 4.5
 
-#: Seconds without contact to the store after which windows begin to open. Renewals are written
+#: Seconds without contact with the store after which windows begin to open. Renewals are written
 #: three times per second, and a slow store answers within 0.5 s; a longer gap is an outage.
 OPENING_STARTS_S = 1.0
 
@@ -72,7 +72,7 @@
 
 
 def opening_after(out_of_touch_s: float) -> Opening:
-    """Return the opening after a time without contact to the store."""
+    """Return the opening after a time without contact with the store."""
     share = (out_of_touch_s - OPENING_STARTS_S) / (UNLOCK_S - OPENING_STARTS_S)
     return Opening(min(1.0, max(0.0, share)), is_full=out_of_touch_s >= UNLOCK_S)
 
