--- a/mothstand/docs_pages.py
+++ b/mothstand/docs_pages.py
@@ -1,4 +1,4 @@
-"""Generator of the reference pages in ``docs/``; a test compares them with the code.
+"""Generates reference pages in ``docs/`` from the code; a test compares them with it.
 
 Run ``python -m mothstand.docs_pages`` to write the pages.
 """
--- a/mothstand/entry/heartbeats.py
+++ b/mothstand/entry/heartbeats.py
@@ -34,8 +34,8 @@
     partners
         Returns the names of the peers that share a ledger epoch with this instance.
     seeds
-        Addresses of peers to probe while no peer is known: an instance that starts during an
-        outage of the platform cannot read the list.
+        Addresses of peers to probe while no peer is known, since an instance that starts during
+        an outage of the platform cannot read the list.
     """
 
     def __init__(
--- a/mothstand/entry/instance.py
+++ b/mothstand/entry/instance.py
@@ -268,7 +268,7 @@
             self._claims.on_record(offset, record)
 
     def _on_config(self) -> None:
-        # Counted here, since it is used after each request.
+        # Counted once per configuration, since the count is read after each request.
         self._data_centres = max(1, len(data_centres(self._configuration.state.config)))
         self._ledger.on_config()
 
--- a/mothstand/events.py
+++ b/mothstand/events.py
@@ -1,4 +1,7 @@
-"""Numbered log events; their catalogue ``docs/EVENTS.md`` is generated from this module."""
+"""Numbered log events.
+
+Their catalogue ``docs/EVENTS.md`` is generated from this module, and a test compares the two.
+"""
 
 from __future__ import annotations
 
--- a/mothstand/ledger/reserver.py
+++ b/mothstand/ledger/reserver.py
@@ -79,7 +79,11 @@
         return reply
 
     def settle(self, ticket: Ticket, used_tokens: int, request_id: str) -> bool:
-        """Settle a reservation; return False if this instance cannot."""
+        """Settle a reservation; return False if this instance cannot.
+
+        It cannot if no account here has the reservation, or if it is the epoch's witness and has
+        not sealed its account yet.
+        """
         state = self._state
         if ticket.key_holder == state.context.membership.local_member.address:
             self._finish_key(request_id, used_tokens)
--- a/mothstand/ledger/service.py
+++ b/mothstand/ledger/service.py
@@ -116,7 +116,7 @@
     async def settle(
         self, ticket: Ticket, budget: BudgetName, request_id: str, used_tokens: int
     ) -> None:
-        """Bill a request and settle its reservation, with retries until a peer accepts it.
+        """Bill a request and settle its reservation, with retries until the holder or witness accepts.
 
         The bill is queued for the log before the first await, so that it is not lost if the
         caller disconnects.
@@ -128,7 +128,8 @@
         try:
             await self._settle_until_accepted(ticket, request_id, used_tokens)
             if ticket.key_holder:
-                # Best effort: without it, retries are treated as running for longer than necessary.
+                # Best effort: if it fails, a retry is told for longer than necessary that the request
+                # still runs.
                 await self._settle_at(ticket.key_holder, ticket, request_id, used_tokens)
         finally:
             self._unsettled_count -= 1
@@ -199,7 +200,7 @@
         try:
             await self._context.calls.report_posted(address, tickets, timeout_s=1.0)
         except PeerError:
-            # The holder may bill again once this instance is dead; the duplicate is dropped.
+            # If this instance dies, the holder may post the bills again; duplicates are dropped.
             return
 
     def _bill(self, line: BillLine) -> None:
--- a/mothstand/ledger/shard.py
+++ b/mothstand/ledger/shard.py
@@ -137,8 +137,8 @@
     def _snapshot_if_due(self) -> None:
         """Append a snapshot if enough records were read since the last one.
 
-        The leaseholder of the first data centre in order is due first, the others a little later,
-        in case the first is cut off from the log.
+        The leaseholder of the first data centre by name is due first, the others a little later, in
+        case the first is cut off from the log.
         """
         order = sorted(self.state.fold.current_epochs)
         turn = order.index(self._context.membership.data_centre)
@@ -251,7 +251,7 @@
         """Drop the accounts of epochs that the fold no longer retains."""
         for accounts in (self.state.holders, self.state.witnesses):
             for epoch in [e for e in accounts if e not in self.state.fold.epochs]:
-                # Running requests still settle in these accounts, which their bills need.
+                # Running requests still settle in these accounts, if only for their bills.
                 if not accounts[epoch].open_reservations:
                     del accounts[epoch]
 
--- a/mothstand/operators/publish.py
+++ b/mothstand/operators/publish.py
@@ -80,7 +80,8 @@
         self._log = log
         self._operator = operator
         self._clock = clock
-        # Each publication has its own author, so a retry after a lost answer has the same id.
+        # Drawn once per publication, so that an append that is retried after a lost answer keeps its
+        # record id.
         self._author = f"{operator}:{uuid.uuid4().hex[:12]}"
 
     async def publish(self, sections: Sections, *, base_offset: int | None = None) -> PublishResult:
--- a/mothstand/operators/release.py
+++ b/mothstand/operators/release.py
@@ -1,4 +1,4 @@
-"""Releases the tokens of a superseded epoch whose processes have died, for an operator."""
+"""Releases the tokens of a superseded epoch if an operator declares its processes dead."""
 
 from __future__ import annotations
 
@@ -101,7 +101,7 @@
 
 
 async def _check_unresponsive(peers: GrpcPeers, local_member: Member, state: EpochState) -> None:
-    """Raise if a process that has not closed its side answers: it closes it by itself."""
+    """Raise if a process that has not closed its side answers, since it will close it itself."""
     for member in state.unclosed_members():
         try:
             result = await peers.probe(member.address, local_member, timeout_s=_PROBE_TIMEOUT_S)
