--- a/mothstand/entry/app.py
+++ b/mothstand/entry/app.py
@@ -235,7 +235,7 @@
         emit(Event.REQUEST_REFUSED, kind=refusal.kind.value, detail=refusal.detail)
 
 
-#: Pseudo status of a retained answer that another instance has.
+#: Pseudo status of an answer that a peer has to give, because it runs or ran the request.
 ANSWERED_BY_PEER = -1
 
 _RELAYED_RESPONSE_HEADERS = frozenset(
--- a/mothstand/entry/budgeted.py
+++ b/mothstand/entry/budgeted.py
@@ -31,7 +31,7 @@
 
 
 class KnownKeyError(Exception):
-    """The request's idempotency key is already in use."""
+    """The request's idempotency key was used before; its request runs or has finished."""
 
     def __init__(self, known: KnownKey) -> None:
         super().__init__(known.owner)
@@ -60,7 +60,7 @@
     RefusedError
         On entry, if the budget does not cover the request.
     KnownKeyError
-        On entry, if the request's key is already in use.
+        On entry, if the request's key was used before.
     """
 
     def __init__(self, context: EntryContext, request: CallerRequest, bound_tokens: int) -> None:
--- a/mothstand/entry/chat.py
+++ b/mothstand/entry/chat.py
@@ -1,4 +1,4 @@
-"""Chat completions: runs a request, complete or streamed, on one model engine after another."""
+"""Chat completions: runs a request, complete or streamed; after a failure on another engine."""
 
 from __future__ import annotations
 
--- a/mothstand/entry/intents.py
+++ b/mothstand/entry/intents.py
@@ -55,8 +55,8 @@
         ------
         RefusedError
             ``PLATFORM_UNREACHABLE`` if the claim is not read back in time; nothing has been or
-            will be dispatched under this claim then. ``KEY_RUNNING`` if this process is claiming the
-            key or its earlier claim on it may still reach the log.
+            will be dispatched under this claim then. ``KEY_RUNNING`` if this process is claiming
+            the key or its earlier claim on it may still reach the log.
         """
         known = self.fold.find(request_key)
         if known is not None:
--- a/mothstand/ledger/calls.py
+++ b/mothstand/ledger/calls.py
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KnownKey:
-    """Reply for an idempotency key in use; `owner` is the incarnation that runs or ran it."""
+    """Reply for an idempotency key used before; `owner` is the incarnation that runs or ran it."""
 
     owner: str
     is_finished: bool
--- a/mothstand/ledger/service.py
+++ b/mothstand/ledger/service.py
@@ -116,7 +116,7 @@
     async def settle(
         self, ticket: Ticket, budget: BudgetName, request_id: str, used_tokens: int
     ) -> None:
-        """Bill a request and settle its reservation, with retries until the holder or witness accepts.
+        """Bill a request and settle its reservation; retry until holder or witness accepts.
 
         The bill is queued for the log before the first await, so that it is not lost if the
         caller disconnects.
@@ -128,8 +128,8 @@
         try:
             await self._settle_until_accepted(ticket, request_id, used_tokens)
             if ticket.key_holder:
-                # Best effort: if it fails, a retry is told for longer than necessary that the request
-                # still runs.
+                # Best effort: if it fails, retries are told for longer than necessary that the
+                # request still runs.
                 await self._settle_at(ticket.key_holder, ticket, request_id, used_tokens)
         finally:
             self._unsettled_count -= 1
--- a/mothstand/operators/publish.py
+++ b/mothstand/operators/publish.py
@@ -80,8 +80,7 @@
         self._log = log
         self._operator = operator
         self._clock = clock
-        # Drawn once per publication, so that an append that is retried after a lost answer keeps its
-        # record id.
+        # Drawn once per publication, so that an append retried after a lost answer keeps its id.
         self._author = f"{operator}:{uuid.uuid4().hex[:12]}"
 
     async def publish(self, sections: Sections, *, base_offset: int | None = None) -> PublishResult:
