--- a/mothstand/entry/services.py
+++ b/mothstand/entry/services.py
@@ -90,7 +90,7 @@
         self._refuse_known_key(intent)
 
     def _refuse_known_key(self, intent: Intent) -> NoReturn:
-        """Refuse a key that was claimed before, or raise its owner for forwarding."""
+        """Refuse a key that was claimed before, or raise so that its owner gets the request."""
         if intent.status == OUTCOME_UNKNOWN:
             raise RefusedError(Refusal(ErrorKind.OUTCOME_UNKNOWN, "under this key, before"))
         raise KnownKeyError(KnownKey(intent.owner.incarnation, intent.status is not None))
--- a/mothstand/entry/sinks.py
+++ b/mothstand/entry/sinks.py
@@ -80,7 +80,7 @@
         await self._change_event.wait()
 
     async def follow(self, send: Send) -> None:
-        """Send the answer to a caller from its start, waiting for further pieces to its end."""
+        """Send the answer to a caller from its start and wait for further pieces until its end."""
         while not self.status:
             await self.wait()
         sink = CallerSink(send)
--- a/mothstand/platform/records.py
+++ b/mothstand/platform/records.py
@@ -92,7 +92,7 @@
 
 
 class _Server(BaseModel):
-    """An upstream's registration; strict, since other writers may use the same stream."""
+    """An upstream's registration; others may write here, so no value is converted or guessed."""
 
     model_config = ConfigDict(strict=True)
 
@@ -188,6 +188,6 @@
 
 
 def _error_summary(error: ValidationError) -> str:
-    """Return the first three errors, each with its field, without the input."""
+    """Return the first three errors: for each the field and what is wrong, without the input."""
     faults = error.errors(include_url=False, include_input=False, include_context=False)[:3]
     return "; ".join(f"{'.'.join(map(str, f['loc']))}: {f['msg']}" for f in faults)
--- a/mothstand/standins/users_store.py
+++ b/mothstand/standins/users_store.py
@@ -42,7 +42,7 @@
         self._is_unreachable = False
 
     async def append(self, request: Request) -> Response:
-        """Append records, if the end of the stream is at the given offset, if any."""
+        """Append records; if an offset is given, only if the stream ends there."""
         if self._is_unreachable:
             return Response(status_code=_UNAVAILABLE)
         stream = _requested_stream(request)
