--- a/mothstand/standins/users_engine.py
+++ b/mothstand/standins/users_engine.py
@@ -3,7 +3,7 @@
 Run as ``python -m mothstand.standins.users_engine --address IP:PORT --upstream-id ID``. It refuses
 a request that expects another id, and continues after ``Last-Event-Id``. ``GET /journal`` lists the
 requests that it ran. With ``--crash-body TEXT`` it crashes soon after it starts a request with that
-body. With ``--arrivals PATH`` it appends a line for each request to a file that outlives the process.
+body. With ``--arrivals PATH`` it appends a line for each request to a file that outlives it.
 """
 
 from __future__ import annotations
