--- a/benchmarks/engine_model.py
+++ b/benchmarks/engine_model.py
@@ -52,7 +52,7 @@
     request_tokens_per_s
         Maximum decoding rate of one request.
     cache_tokens
-        Size of the prefix cache; the least recently used prefixes are evicted first.
+        Maximum total length of the cached prefixes; the least recently used ones go first.
     """
 
     slots: int = 16
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -21,7 +21,8 @@
 
 from .engine_model import STEP_S, Engine, EngineSize, Work
 
-#: Sizes of the leading parts that documents share, of their sessions' parts, and of requests.
+#: Numbers and tokens of the leading parts that documents share, and of their sessions' parts; then
+#: the new prompt tokens and the answer tokens of each document and each question.
 _STYLES, _STYLE_TOKENS = 4, 2_520
 _SESSIONS, _SESSION_TOKENS = 1_209, 3_780
 _DOCUMENT_TOKENS, _DOCUMENT_ANSWER_TOKENS = 2_890, 52
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -1,9 +1,9 @@
 """Recovery time of a data centre that loses its leaseholder while cut off from the platform.
 
 Run ``python -m benchmarks.recovery``. Each round starts two data centres, cuts one off from the
-platform, kills a budget's leaseholder there, and ends the cut. It prints how long after the kill
-requests of that data centre went unanswered, and how long after the end of the cut requests were
-refused that the witness could not serve alone.
+platform, kills a budget's leaseholder there, and ends the cut. It prints for how long
+after the kill that data centre answered no request, and for how long after the end of the cut it
+refused the larger requests, which the witness could not serve alone.
 """
 
 from __future__ import annotations
--- a/mothstand/testing/claim_histories.py
+++ b/mothstand/testing/claim_histories.py
@@ -50,13 +50,13 @@
     """Faults injected into the code under test, which the histories must find."""
 
     NONE = "none"
-    FORGETS_UNCONFIRMED_APPENDS = "a doubtful append does not bind"
-    RECLAIMS_WITHOUT_PROOF = "a successor takes back all that the dead did not say to have spent"
-    COUNTS_LOAN_TWICE = "a borrower counts a loan for each of its answers"
-    IGNORES_APPEND_CONDITION = "the store appends whatever the stream's end is"
+    FORGETS_UNCONFIRMED_APPENDS = "an unconfirmed append does not limit what may be spent"
+    RECLAIMS_WITHOUT_PROOF = "a successor reclaims all that a dead process did not report as spent"
+    COUNTS_LOAN_TWICE = "a borrower counts a loan again for each repeated answer"
+    IGNORES_APPEND_CONDITION = "the store appends wherever the stream ends"
     CLAIMS_NEVER_LOCKED = "claims may be spent past their windows at once"
     WINDOWS_FULLY_OPEN = "windows may be spent at once"
-    REPEATS_HANDOVER = "a handover is sent again to a later start, which adds it once more"
+    REPEATS_HANDOVER = "a handover is sent again to a restarted process, which counts it again"
 
 
 class OverspentError(AssertionError):
--- a/mothstand/testing/crash_faults.py
+++ b/mothstand/testing/crash_faults.py
@@ -20,10 +20,10 @@
 
     NONE = "none"
     QUARANTINES_NOTHING = "no request is quarantined"
-    IGNORES_PEERS = "an instance knows the ends that it saw, and no others"
-    REPORTS_ONCE = "what the store does not take at once is told to nobody"
-    NEVER_CLEARS = "a whole answer clears nothing"
-    COUNTS_BREAKS_AS_CRASHES = "each broken connection counts as the end of its upstream"
+    IGNORES_PEERS = "an instance knows only the crashes that it saw itself"
+    REPORTS_ONCE = "records of a failed append are not reported again"
+    NEVER_CLEARS = "a complete answer clears no request"
+    COUNTS_BREAKS_AS_CRASHES = "each broken connection counts as a crash of its upstream"
 
 
 class _IsolatedFeed(QuarantineFeed):
@@ -51,7 +51,7 @@
     """Never clears a request."""
 
     def clear(self, digest: RequestDigest) -> None:
-        """Do nothing."""
+        """Ignore the complete answer, so that the request stays quarantined."""
 
 
 class _IdleQuarantine(Quarantine):
@@ -63,7 +63,7 @@
 
 
 class _IdleFeed(QuarantineFeed):
-    """Admits all requests."""
+    """Feed whose quarantine admits all requests."""
 
     def __init__(self, *arguments: Any) -> None:
         super().__init__(*arguments)
--- a/mothstand/testing/fleet.py
+++ b/mothstand/testing/fleet.py
@@ -145,7 +145,7 @@
     def start_instance(
         self, name: str, data_centre: str, *, is_listed: bool = True, seeds: str = ""
     ) -> FleetProcess:
-        """Start an entry instance under a new incarnation, and publish the list of instances."""
+        """Start an entry instance with a new incarnation; publish the list if `is_listed`."""
         address, peers_address = (f"127.0.0.1:{free_port()}" for _ in range(2))
         path = self.folder / f"{name}.ini"
         path.write_text(
--- a/mothstand/testing/gateway_fleet.py
+++ b/mothstand/testing/gateway_fleet.py
@@ -96,7 +96,7 @@
         return process
 
     def restart_instance(self, name: str) -> FleetProcess:
-        """Start an instance that has ended again, with its former settings."""
+        """Start an ended instance again, with its former settings."""
         ended_process = self.processes[name]
         command = (sys.executable, "-m", "mothstand.gateway_main", str(self.folder / f"{name}.ini"))
         return self._spawn(name, command, ended_process.address, ended_process.peers_address)
--- a/mothstand/testing/memory_store.py
+++ b/mothstand/testing/memory_store.py
@@ -57,7 +57,7 @@
     def append(
         self, stream: Stream, records: tuple[KeyedRecord, ...], at_offset: int | None
     ) -> bool:
-        """Append if the stream ends at `at_offset` or that is None; return whether it did."""
+        """Append unless the stream ends elsewhere than at a given `at_offset`; return success."""
         stored = self._records[stream]
         if self.is_conditional and at_offset is not None and len(stored) != at_offset:
             return False
--- a/mothstand/testing/retry_faults.py
+++ b/mothstand/testing/retry_faults.py
@@ -19,10 +19,10 @@
     """Faults of the retry budget."""
 
     NONE = "none"
-    COUNTS_ONE_WINDOW = "requests pay in the window before each retry"
-    FORGETS_RETRIES = "a start has its part of the burst at once"
-    DIVIDES_BY_FLEET_SIZE = "the burst is divided by the fleet's size as it is believed"
-    USES_SHARE_AT_ONCE = "a newcomer uses its part before the others know of it"
+    COUNTS_ONE_WINDOW = "requests and retries count only in the window before each retry"
+    FORGETS_RETRIES = "a restarted process uses its share of the burst at once"
+    DIVIDES_BY_FLEET_SIZE = "the burst is divided by the size of the fleet in the membership view"
+    USES_SHARE_AT_ONCE = "a new instance uses its share before the others know of it"
     IGNORES_STALLS = "a request counts as sent when it is read"
 
 
