--- a/benchmarks/forwarding.py
+++ b/benchmarks/forwarding.py
@@ -1,4 +1,4 @@
-"""Forwarding compared with the bare pass-through: requests/s, latency, processor time per chunk.
+"""Forwarding against the bare pass-through: requests/s, added latency, processor time per chunk.
 
 Run ``python -m benchmarks.forwarding``. The engine stand-in, the baseline, the instance and the
 callers are separate processes on loopback. Compare figures only by their ratios within one run.
--- a/mothstand/testing/budget_fleet.py
+++ b/mothstand/testing/budget_fleet.py
@@ -149,7 +149,7 @@
     per_data_centre
         Instances in each data centre.
     claimants
-        Number of these instances that claim tokens.
+        Number of instances in each data centre that claim tokens.
     used_share
         Share of its bound that a request uses.
     unanswered_share
--- a/mothstand/testing/claim_histories.py
+++ b/mothstand/testing/claim_histories.py
@@ -352,7 +352,7 @@
             self.counts["repeated"] += 1
 
     async def _hand_over(self) -> None:
-        """Hand tokens over from one process to another; a lost call loses them."""
+        """Hand tokens over from one process to another; if the call is lost, so are they."""
         giver, recipient = self._rng.sample(self._processes, 2)
         budget = self._rng.choice(_BUDGETS)
         self._update_opening(giver)
--- a/mothstand/testing/crash_histories.py
+++ b/mothstand/testing/crash_histories.py
@@ -136,7 +136,7 @@
 
 
 class _Answer(UpstreamAnswer):
-    """A complete answer."""
+    """A complete answer without a body."""
 
     def __init__(self) -> None:
         self.status = 200
--- a/mothstand/testing/histories.py
+++ b/mothstand/testing/histories.py
@@ -59,7 +59,7 @@
 
 @dataclass(slots=True)
 class Process:
-    """A process of an instance, with its own incarnation."""
+    """A process of an instance and its view of the log."""
 
     node: ShardNode
     writer: FakeWriter[LedgerRecord]
@@ -110,7 +110,9 @@
         self.spent_tokens: dict[Epoch, int] = {}
         self.running_requests: dict[str, RunningRequest] = {}
         self.data_centres = {
-            f"{place}-{i}": place for place in DATA_CENTRES for i in range(per_data_centre)
+            f"{data_centre}-{i}": data_centre
+            for data_centre in DATA_CENTRES
+            for i in range(per_data_centre)
         }
         self.config = FleetConfig(escrow=EscrowPolicy(allowance_percent=10, promotion_percent=30))
         self.processes = {name: self._start(name, 1) for name in self.data_centres}
@@ -376,7 +378,7 @@
         writer: FakeWriter[LedgerRecord] = FakeWriter(local_member.incarnation)
         process: Process
 
-        def silent_s() -> float:
+        def log_unreachable_s() -> float:
             return process.log_silent_s
 
         context = ShardContext(
@@ -385,7 +387,7 @@
             clock=clock,
             timing=TimingSection.model_validate({}),
             config=lambda: self.config,
-            log_unreachable_s=silent_s,
+            log_unreachable_s=log_unreachable_s,
             data_centre_count=lambda: len(DATA_CENTRES),
         )
         node = ShardNode(SHARD, writer, context, _ignore_bill)  # type: ignore[arg-type]
--- a/mothstand/testing/memory_store.py
+++ b/mothstand/testing/memory_store.py
@@ -57,7 +57,7 @@
     def append(
         self, stream: Stream, records: tuple[KeyedRecord, ...], at_offset: int | None
     ) -> bool:
-        """Append unless the stream ends elsewhere than at a given `at_offset`; return success."""
+        """Append, unless `at_offset` is given and is not the stream's end; return success."""
         stored = self._records[stream]
         if self.is_conditional and at_offset is not None and len(stored) != at_offset:
             return False
