--- a/mothstand/testing/fleet.py
+++ b/mothstand/testing/fleet.py
@@ -29,8 +29,8 @@
 #: the process that it was chosen for starts.
 _PORTS = range(10_000, 30_000)
 
-#: Separate from the `random` module, which tests seed; with that, each test, also of a parallel run,
-#: would choose the same ports and fail with "address already in use".
+#: Separate from the `random` module, which tests seed; with that module, each test, also of a
+#: parallel run, would choose the same ports and fail with "address already in use".
 _port_rng = random.SystemRandom()
 
 
