--- a/mothstand/testing/fleet.py
+++ b/mothstand/testing/fleet.py
@@ -29,8 +29,8 @@
 #: the process that it was chosen for starts.
 _PORTS = range(10_000, 30_000)
 
-#: Separate from the `random` module, which tests seed: each test, also in a parallel run, would get
-#: the same ports and fail with "address already in use".
+#: Separate from the `random` module, which tests seed; with that module, each test, also of a
+#: parallel run, would choose the same ports and fail with "address already in use".
 _port_rng = random.SystemRandom()
 
 
@@ -145,7 +145,7 @@
     def start_instance(
         self, name: str, data_centre: str, *, is_listed: bool = True, seeds: str = ""
     ) -> FleetProcess:
-        """Start an entry instance under a new incarnation, and publish the list of instances."""
+        """Start an entry instance with a new incarnation; publish the list if `is_listed`."""
         address, peers_address = (f"127.0.0.1:{free_port()}" for _ in range(2))
         path = self.folder / f"{name}.ini"
         path.write_text(
