--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -185,7 +185,7 @@
         (placement,) = self._rng.choices(self._instances, self._shares)
         subject = session_key(prompt, f"r{self._request_count}")
         upstream = placement.choose(
-            self._upstreams, prompt, subject, tried=frozenset(), now_s=now_s
+            self._upstreams, prompt, subject, tried_upstreams=frozenset(), now_s=now_s
         )
         assert upstream is not None
         placed = placement.note_started(upstream, prompt, now_s)
--- a/mothstand/core/placement.py
+++ b/mothstand/core/placement.py
@@ -89,7 +89,7 @@
         prompt: Prompt,
         subject: str,
         *,
-        tried: frozenset[str],
+        tried_upstreams: frozenset[str],
         now_s: float,
     ) -> RegisteredUpstream | None:
         """Return the upstream for a request, or None if there is none.
@@ -102,7 +102,7 @@
         tried
             Upstreams at which this request has failed.
         """
-        candidates = [u for u in upstreams if u.upstream_id not in tried]
+        candidates = [u for u in upstreams if u.upstream_id not in tried_upstreams]
         healthy = [u for u in candidates if self._state(u).suspended_until_s <= now_s]
         # If all are suspended, use them: refusing a request because of a wrong suspension costs
         # more than another failure.
--- a/mothstand/core/upstreams.py
+++ b/mothstand/core/upstreams.py
@@ -92,7 +92,7 @@
         age_s = self.age_s(now_s) or 0.0
         return age_s if age_s > OUTAGE_AFTER_S else 0.0
 
-    def gapless_s(self, now_s: float) -> float:
+    def gapless_read_s(self, now_s: float) -> float:
         """Return for how many seconds, up to now, the store has been read without a gap."""
         if self._store_read_s is None or self.gap_s(now_s):
             return 0.0
--- a/mothstand/gateway/borrowing.py
+++ b/mothstand/gateway/borrowing.py
@@ -187,7 +187,7 @@
         for peer in self._lenders():
             try:
                 # Any call shows whether the peer answers; this one moves no tokens.
-                await self._link.registrations_gapless_s(peer.address)
+                await self._link.registrations_gapless_read_s(peer.address)
             except PeerError as error:
                 self._suspect(peer, error)
             else:
--- a/mothstand/gateway/crash_detector.py
+++ b/mothstand/gateway/crash_detector.py
@@ -146,7 +146,7 @@
             self._unchecked.append(suspect)
             self._has_unchecked.set()
 
-    def note_deregistered(self, upstream: RegisteredUpstream) -> None:
+    def note_process_ended(self, upstream: RegisteredUpstream) -> None:
         """Record that an upstream was deregistered or has restarted."""
         suspect = self._suspects.get(upstream.key)
         if suspect is not None and not upstream.is_draining:
--- a/mothstand/gateway/crash_guard.py
+++ b/mothstand/gateway/crash_guard.py
@@ -85,7 +85,7 @@
             attempt = BrokenAttempt(call.fields.request_id, call.digest, call.known_crashes)
             self._crash_detector.note_broken_attempt(upstream, attempt)
         elif isinstance(error, MisdirectedError):
-            self._crash_detector.note_deregistered(upstream)
+            self._crash_detector.note_process_ended(upstream)
         elif isinstance(error, RefusedByUpstreamError):
             call.is_upstream_full = True
 
--- a/mothstand/gateway/forward.py
+++ b/mothstand/gateway/forward.py
@@ -157,7 +157,7 @@
             self._directory.accepting_upstreams(call.service),
             call.fields.prompt,
             session_key(call.fields.prompt, call.fields.request_id),
-            tried=frozenset(call.tried_upstreams),
+            tried_upstreams=frozenset(call.tried_upstreams),
             now_s=self._clock.monotonic_s(),
         )
 
--- a/mothstand/gateway/instance.py
+++ b/mothstand/gateway/instance.py
@@ -177,7 +177,7 @@
     def _forget_upstream(self, upstream: RegisteredUpstream) -> None:
         self._placement.forget(upstream)
         self._client.close_idle_connections(upstream)
-        self._crash_detector.note_deregistered(upstream)
+        self._crash_detector.note_process_ended(upstream)
 
     async def run(self) -> None:
         """Serve until SIGTERM."""
@@ -193,7 +193,7 @@
             self._accounts.lend,
             self._accounts.take_over,
             self._bootstrap_state,
-            self._upstream_feed.gapless_s,
+            self._upstream_feed.gapless_read_s,
             self._quarantine_feed.apply_from_peer,
         )
         peer_server = await serve_peers(service, listen.peers)
--- a/mothstand/gateway/lending.py
+++ b/mothstand/gateway/lending.py
@@ -152,7 +152,7 @@
         """
 
     @abstractmethod
-    async def registrations_gapless_s(self, address: str) -> float:
+    async def registrations_gapless_read_s(self, address: str) -> float:
         """Return the seconds for which a peer has read the registrations without a gap.
 
         Raises
@@ -268,7 +268,7 @@
             quarantine_records=tuple(KeyedRecord(r.key, r.value) for r in reply.ends),
         )
 
-    async def registrations_gapless_s(self, address: str) -> float:
+    async def registrations_gapless_read_s(self, address: str) -> float:
         """Return the seconds for which a peer has read the registrations without a gap."""
         with self._call(address) as stub, anyio.fail_after(WITNESS_TIMEOUT_S):
             reply = await stub.Registrations(pb.RegistrationsRequest())
--- a/mothstand/gateway/store_witness.py
+++ b/mothstand/gateway/store_witness.py
@@ -57,7 +57,7 @@
 
     async def _gapless_s(self, peer: Peer) -> float:
         try:
-            return await self._link.registrations_gapless_s(peer.address)
+            return await self._link.registrations_gapless_read_s(peer.address)
         except PeerError as error:
             emit(Event.PEER_SUSPECTED, peer=peer.instance, error=str(error))
             return 0.0
--- a/mothstand/gateway/upstream_feed.py
+++ b/mothstand/gateway/upstream_feed.py
@@ -73,9 +73,9 @@
             tasks.start_soon(self._expire_after_grace)
             await super().run()
 
-    def gapless_s(self) -> float:
+    def gapless_read_s(self) -> float:
         """Return the seconds for which the registrations were read without a gap, up to now."""
-        return self.directory.gapless_s(self._clock.monotonic_s())
+        return self.directory.gapless_read_s(self._clock.monotonic_s())
 
     async def note_read(self) -> None:
         """Note that the store answered; after a gap, determine whether it was up during it."""
--- a/mothstand/testing/budget_fleet.py
+++ b/mothstand/testing/budget_fleet.py
@@ -104,7 +104,7 @@
         await self._call(address)
         self._fleet.instances[address].accounts.take_over(handover)
 
-    async def registrations_gapless_s(self, address: str) -> float:
+    async def registrations_gapless_read_s(self, address: str) -> float:
         """Return 0 for a live instance: this simulation has no registrations."""
         await self._call(address)
         return 0.0
--- a/mothstand/testing/crash_histories.py
+++ b/mothstand/testing/crash_histories.py
@@ -268,7 +268,7 @@
 
     def _forget(self, upstream: RegisteredUpstream) -> None:
         self._placement.forget(upstream)
-        self.crash_detector.note_deregistered(upstream)
+        self.crash_detector.note_process_ended(upstream)
 
     async def run(self) -> None:
         """Run until killed."""
--- a/mothstand/testing/fakes.py
+++ b/mothstand/testing/fakes.py
@@ -55,7 +55,7 @@
         """Fail."""
         raise PeerError(address)
 
-    async def registrations_gapless_s(self, address: str) -> float:
+    async def registrations_gapless_read_s(self, address: str) -> float:
         """Fail."""
         raise PeerError(address)
 
--- a/mothstand/testing/histories.py
+++ b/mothstand/testing/histories.py
@@ -66,7 +66,7 @@
     membership: FakeMembership
     clock: FakeClock
     read_offset: int = 0
-    log_silent_s: float = 0.0
+    log_unreachable_s: float = 0.0
     old_batches: list[MirrorBatch] = field(default_factory=list)
 
 
@@ -223,7 +223,7 @@
         ]
         alive_peers = [member for member in peers if self.rng.random() < 0.6]
         process.membership.alive_peers = {member.name: member for member in alive_peers}
-        process.log_silent_s = self.rng.choice((0.0, 0.0, 2 * UNREACHABLE_AFTER_S))
+        process.log_unreachable_s = self.rng.choice((0.0, 0.0, 2 * UNREACHABLE_AFTER_S))
 
     def reserve(self, name: str) -> None:
         """Reserve tokens as the holder of an epoch, or as a promoted witness."""
@@ -341,7 +341,7 @@
             for n, member in alive.items()
             if self.data_centres[n] == data_centre and n != name
         }
-        process.log_silent_s = 0.0
+        process.log_unreachable_s = 0.0
         while process.read_offset < len(self.log):
             process.read_offset += 1
             process.node.on_record(process.read_offset, self.log[process.read_offset - 1])
@@ -379,7 +379,7 @@
         process: Process
 
         def log_unreachable_s() -> float:
-            return process.log_silent_s
+            return process.log_unreachable_s
 
         context = ShardContext(
             membership=membership,
--- a/mothstand/tests/test_crash_detector.py
+++ b/mothstand/tests/test_crash_detector.py
@@ -57,7 +57,7 @@
                     if isinstance(step, BrokenAttempt):
                         self.detector.note_broken_attempt(upstream(), step)
                     elif isinstance(step, RegisteredUpstream):
-                        self.detector.note_deregistered(step)
+                        self.detector.note_process_ended(step)
                     elif isinstance(step, float):
                         await anyio.sleep(step)
                 tasks.cancel_scope.cancel()
--- a/mothstand/tests/test_placement.py
+++ b/mothstand/tests/test_placement.py
@@ -26,7 +26,9 @@
     placement: Placement, prompt: Prompt, now_s: float, **kwargs: object
 ) -> RegisteredUpstream:
     tried = frozenset(kwargs.get("tried", ()))  # type: ignore[call-overload]
-    chosen = placement.choose(_ENGINES, prompt, session_key(prompt, "r"), tried=tried, now_s=now_s)
+    chosen = placement.choose(
+        _ENGINES, prompt, session_key(prompt, "r"), tried_upstreams=tried, now_s=now_s
+    )
     assert chosen is not None
     return chosen
 
@@ -116,7 +118,7 @@
         for number in range(400):
             prompt = Prompt("m", 600, 300, (PromptPart(f"q-{number}", 600),))
             chosen = placement.choose(
-                self._ALL, prompt, f"q-{number}", tried=frozenset(), now_s=number / 10
+                self._ALL, prompt, f"q-{number}", tried_upstreams=frozenset(), now_s=number / 10
             )
             assert chosen is not None
             remote += chosen.data_centre != "d0"
--- a/mothstand/tests/test_slow_connections.py
+++ b/mothstand/tests/test_slow_connections.py
@@ -129,7 +129,7 @@
         link = GrpcPeerLink()
         try:
             calls = await calls_until_answered(
-                lambda: link.registrations_gapless_s(address), PeerError
+                lambda: link.registrations_gapless_read_s(address), PeerError
             )
         finally:
             link.close()
@@ -152,13 +152,13 @@
         )
         peer = await serve_peers(service, address)
         link = GrpcPeerLink()
-        await link.registrations_gapless_s(address)
+        await link.registrations_gapless_read_s(address)
         sent = link._call(address)
         sent.__enter__()
         link._close_channel(address)
         slow_down_connections(monkeypatch)
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(link.registrations_gapless_s, address)
+            tasks.start_soon(link.registrations_gapless_read_s, address)
             await anyio.sleep(0.05)
             with pytest.raises(PeerError) as failure:
                 sent.__exit__(TimeoutError, TimeoutError(), None)
@@ -188,7 +188,7 @@
 
         async def call() -> None:
             try:
-                await link.registrations_gapless_s("127.0.0.1:9")
+                await link.registrations_gapless_read_s("127.0.0.1:9")
             except PeerError as error:
                 failures.append(error)
 
--- a/mothstand/tests/test_store_witness.py
+++ b/mothstand/tests/test_store_witness.py
@@ -43,11 +43,11 @@
     def __init__(self) -> None:
         self.feeds: dict[str, UpstreamFeed] = {}
 
-    async def registrations_gapless_s(self, address: str) -> float:
+    async def registrations_gapless_read_s(self, address: str) -> float:
         if address not in self.feeds:
             await anyio.sleep(0.25)
             raise PeerError(address)
-        return self.feeds[address].gapless_s()
+        return self.feeds[address].gapless_read_s()
 
 
 class _Fleet:
@@ -157,7 +157,7 @@
             server = await serve_peers(service, address)
             link = GrpcPeerLink()
             try:
-                return await link.registrations_gapless_s(address)
+                return await link.registrations_gapless_read_s(address)
             finally:
                 link.close()
                 server.close()
