--- a/mothstand/gateway/lending.py
+++ b/mothstand/gateway/lending.py
@@ -340,14 +340,14 @@
         lend: Callable[[LoanRequest], Awaitable[LoanReply]],
         take_over: Callable[[Handover], None],
         bootstrap_state: Callable[[], BootstrapState],
-        registrations_gapless_s: Callable[[], float],
+        registrations_gapless_read_s: Callable[[], float],
         apply_quarantine_records: Callable[[Iterable[KeyedRecord]], None],
     ) -> None:
         self._apply_quarantine_records = apply_quarantine_records
         self._lend = lend
         self._take_over = take_over
         self._bootstrap_state = bootstrap_state
-        self._registrations_gapless_s = registrations_gapless_s
+        self._registrations_gapless_read_s = registrations_gapless_read_s
 
     async def Lend(self, stream: Stream[pb.LoanRequest, pb.LoanReply]) -> None:  # noqa: N802
         """Lend tokens to the caller."""
@@ -404,7 +404,9 @@
     ) -> None:
         """Send the seconds for which this instance has read the registrations without a gap."""
         await stream.recv_message()
-        await stream.send_message(pb.RegistrationsReply(followed_s=self._registrations_gapless_s()))
+        await stream.send_message(
+            pb.RegistrationsReply(followed_s=self._registrations_gapless_read_s())
+        )
 
     async def TellEnds(  # noqa: N802
         self, stream: Stream[pb.EndsRequest, pb.EndsReply]
--- a/mothstand/gateway/store_witness.py
+++ b/mothstand/gateway/store_witness.py
@@ -46,7 +46,7 @@
 
         async def ask(peer: Peer) -> None:
             nonlocal found
-            if await self._gapless_s(peer) >= gap_s:
+            if await self._gapless_read_s(peer) >= gap_s:
                 found = True
                 tasks.cancel_scope.cancel()
 
@@ -55,7 +55,7 @@
                 tasks.start_soon(ask, peer)
         return found
 
-    async def _gapless_s(self, peer: Peer) -> float:
+    async def _gapless_read_s(self, peer: Peer) -> float:
         try:
             return await self._link.registrations_gapless_read_s(peer.address)
         except PeerError as error:
