--- a/mothstand/tests/test_requests.py
+++ b/mothstand/tests/test_requests.py
@@ -72,7 +72,7 @@
         set_engines(fleet, mode="truncate")
         answer = chat(fleet.processes["sto-a-1"].url, stream=True, tokens_wanted=16)
         got = read_answer(answer.status_code, answer.text, stream=True)
-        assert got["got"] is CallOutcome.BROKEN
+        assert got["outcome"] is CallOutcome.BROKEN
         assert "[DONE]" not in answer.text
         last = json.loads(answer.text.strip().splitlines()[-1].removeprefix("data: "))
         assert last["error"]["run_state"] == "may have run"
@@ -85,7 +85,7 @@
         set_engines(fleet, mode="cross")
         answer = chat(fleet.processes["sto-a-1"].url, stream=True, tokens_wanted=16)
         got = read_answer(answer.status_code, answer.text, stream=True)
-        assert got["got"] is CallOutcome.BROKEN
+        assert got["outcome"] is CallOutcome.BROKEN
         assert "chatcmpl-of-another" not in answer.text.splitlines()[0]
         right = "".join(answer_tokens("Rewrite in APA: Andersson.", 16))
         assert right.startswith(got["text"])
@@ -198,7 +198,7 @@
         with pytest.raises(httpx.TimeoutException):
             chat(url, timeout_s=0.2, tokens_wanted=4, **options)
         answer = chat(url, tokens_wanted=4, **options)
-        assert read_answer(200, answer.text, stream=True)["got"] is CallOutcome.COMPLETE
+        assert read_answer(200, answer.text, stream=True)["outcome"] is CallOutcome.COMPLETE
         assert len(runs_of(fleet, "came back")) == 1
 
 
--- a/mothstand/tests/test_resume.py
+++ b/mothstand/tests/test_resume.py
@@ -65,7 +65,7 @@
         fleet.set_faults("llm-a", mode=mode)
         fleet.set_faults("llm-b", mode=mode)
         got, text = stream_answer(fleet)
-        assert got["got"] is CallOutcome.COMPLETE, text
+        assert got["outcome"] is CallOutcome.COMPLETE, text
         assert got["text"] == "".join(answer_tokens(PROMPT, 16))
         assert got["usage_tokens"] == len(PROMPT.split()) + 16
         assert second_attempts(fleet), "the first engine did not fail"
@@ -76,7 +76,7 @@
         for name in ENGINES:
             fleet.set_faults(name, mode="truncate")
         got, text = stream_answer(fleet)
-        assert got["got"] is CallOutcome.BROKEN
+        assert got["outcome"] is CallOutcome.BROKEN
         assert "[DONE]" not in text
         assert "".join(answer_tokens(PROMPT, 16)).startswith(got["text"])
 
