--- a/mothstand/tests/test_admission.py
+++ b/mothstand/tests/test_admission.py
@@ -77,9 +77,10 @@
 
 class TestAdmission:
     def test_admission_doubles_answers_on_time_in_a_burst(self) -> None:
-        """In a burst every answer was late, and prompts of disconnected callers were read in vain.
+        """Guards against late answers to all requests in a burst.
 
-        For eight seconds the demand is twice the capacity; all requests were admitted and queued.
+        For eight seconds the demand is twice the capacity. All requests were admitted and queued,
+        and prompts of callers who had disconnected were read in vain.
         """
         without, with_it = run_burst(with_admission=False), run_burst(with_admission=True)
         assert with_it.counts["on time"] >= 2 * without.counts["on time"]
--- a/mothstand/tests/test_burst_shares.py
+++ b/mothstand/tests/test_burst_shares.py
@@ -97,7 +97,7 @@
         assert new.sharers(24.0) == 0
 
     def test_lease_ends_before_others_reuse_the_part(self) -> None:
-        # Guards against a disconnected instance that uses a part which the others already use.
+        # Guards against a cut-off instance that uses a part which the others already use.
         log = AnnouncementLog()
         others = start_fleet(log, 3)
         disconnected = others.pop()
@@ -109,7 +109,7 @@
         assert now_s > used_until_s + _SPAN_S
 
     def test_returning_instance_has_no_part_until_counted_again(self) -> None:
-        # Guards against an instance that still uses a part which it lost while disconnected.
+        # Guards against an instance that still uses a part which it lost while it was cut off.
         log = AnnouncementLog()
         others = start_fleet(log, 3)
         returning = others.pop()
--- a/mothstand/tests/test_claims.py
+++ b/mothstand/tests/test_claims.py
@@ -124,7 +124,7 @@
         assert (held.spent_tokens, held.available_tokens) == (30, 70)
 
     def test_uncertain_tokens_are_neither_available_nor_recorded_as_spent(self) -> None:
-        """Guards against a final refusal (402) of a request that its budget covers.
+        """Guards against a permanent refusal (402) of a request that its budget covers.
 
         Callers disconnect before any event of their answers, and what their prompts have possibly
         consumed was counted as consumed. One sum was both the limit on spend and the proof that a
@@ -209,7 +209,7 @@
     def test_unresponsive_peer_is_not_asked_for_two_seconds(self) -> None:
         """Guards against requests that each wait for the timeout of the same unreachable peer.
 
-        A peer is disconnected, and each request that needs a loan asked it first, because the
+        A peer is unreachable, and each request that needs a loan asked it first, because the
         failure of one call was not remembered for the next.
         """
         peers = [Peer("b", "1", "b:1"), Peer("c", "1", "c:1")]
--- a/mothstand/tests/test_escrow_agent.py
+++ b/mothstand/tests/test_escrow_agent.py
@@ -1,4 +1,4 @@
-"""Tests asks for escrow and its return, with one leaseholder and fakes."""
+"""Tests of asks for escrow and returns of it, with one leaseholder and fakes."""
 
 from __future__ import annotations
 
--- a/mothstand/tests/test_fleet.py
+++ b/mothstand/tests/test_fleet.py
@@ -398,7 +398,8 @@
     def test_store_outage_is_served_from_claimants_tokens(self) -> None:
         """Guards against refusals when all instances are cut off from the store for 8 s.
 
-        Held tokens were spread over all instances, so that none held enough for one request.
+        The instances still reach each other. Held tokens were spread over all of them, so that
+        none held enough for one request.
         """
         fleet = BudgetFleet(4, 16, 36_000_000)
 
--- a/mothstand/tests/test_forward.py
+++ b/mothstand/tests/test_forward.py
@@ -340,7 +340,7 @@
         assert world.run(world.call(RequestKind.IDEMPOTENT)) is None
 
     def test_misdirected_request_removes_upstream_from_directory(self) -> None:
-        """Guards against requests that go to a replaced engine first, one after the other.
+        """Guards against requests that each go to a replaced engine first.
 
         An engine restarts while the store is unreachable. Its old id stayed in the directory
         although each request to it was refused.
--- a/mothstand/tests/test_slow_connections.py
+++ b/mothstand/tests/test_slow_connections.py
@@ -144,7 +144,7 @@
         """Guards against overspending: tokens kept by the sender and added by the lender.
 
         The connection of a sent handover broke. Before the call failed, another call had begun a
-        new connection, and that channel was asked whether anything was sent.
+        new, slow connection, and whether the handover was sent was read from that one's channel.
         """
         address = f"127.0.0.1:{free_port()}"
         service = LendingService(
