--- a/mothstand/tests/test_claim_histories.py
+++ b/mothstand/tests/test_claim_histories.py
@@ -1,4 +1,4 @@
-"""Tests random histories of claims, which must also find injected faults."""
+"""Tests of random histories of claims, which must also find injected faults."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
         assert counts["served"] > _MIN_SERVED * _CLEAN_SEEDS
 
     def test_nothing_is_overspent_with_handovers(self) -> None:
-        """Guard against the same failure with handovers, some of which are lost."""
+        """Guard against overspending by handovers of stopping instances, some of which are lost."""
         counts: Counter[str] = Counter()
         for seed in range(_CLEAN_SEEDS):
             counts += run_one(seed, has_handovers=True)
--- a/mothstand/tests/test_claims.py
+++ b/mothstand/tests/test_claims.py
@@ -275,7 +275,7 @@
     def test_own_clock_jump_is_not_taken_as_proof(self) -> None:
         """Guards against tokens that are spent, given back and spent again.
 
-        A process is disconnected for long, spends beyond its window and dies. The time of day of
+        A process is cut off for long, spends beyond its window and dies. The time of day of
         its machine jumps back, so the time since the last renewal looks short to its successor. The
         clock of a single machine was relied on.
         """
--- a/mothstand/tests/test_deregistered_upstreams.py
+++ b/mothstand/tests/test_deregistered_upstreams.py
@@ -121,7 +121,7 @@
         assert worst_s < _MAX_REACTION_S
 
     def test_deregistered_during_a_cut_with_lost_history_is_dropped_in_time(self) -> None:
-        """Guards against the same when the instance reads a listing without the upstream."""
+        """Guards against late use when the feed's history is lost and a listing replaces it."""
 
         def scenario(instance: _Instance) -> dict[float, Callable[[], None]]:
             def drop() -> None:
--- a/mothstand/tests/test_histories.py
+++ b/mothstand/tests/test_histories.py
@@ -1,4 +1,4 @@
-"""Tests random histories of the ledger, which must also find injected faults."""
+"""Tests of random histories of the ledger, which must also find injected faults."""
 
 from __future__ import annotations
 
--- a/mothstand/tests/test_ledger_fold.py
+++ b/mothstand/tests/test_ledger_fold.py
@@ -158,7 +158,7 @@
         assert stream.fold.ungranted_tokens(LUND) == 600
 
     def test_allowance_is_consumed_until_holder_closes(self, stream: StreamWriter) -> None:
-        """Guards against overspend by a leaseholder that is disconnected only from its witness.
+        """Guards against overspend by a leaseholder that is cut off only from its witness.
 
         The witness seals and closes while the holder continues to spend its allowance. What a side
         that has not closed possibly spends must not be freed.
@@ -167,7 +167,7 @@
         assert stream.fold.ungranted_tokens(LUND) == 1000 - 150 - 20
 
     def test_promotion_share_is_consumed_until_witness_closes(self, stream: StreamWriter) -> None:
-        """Guards against overspend by a witness that was promoted while disconnected from the log.
+        """Guards against overspend by a witness that was promoted while cut off from the log.
 
         The holder opens an epoch with a new witness and closes the old one, while the old witness
         spends its promotion share. A holder that replaces its witness must not free that share.
--- a/mothstand/tests/test_retry_histories.py
+++ b/mothstand/tests/test_retry_histories.py
@@ -27,7 +27,8 @@
         assert seeds_exceeding_budget(Disruption.KILLS) == []
 
     def test_budget_holds_when_store_is_unreachable(self) -> None:
-        # Guards against an instance that uses the whole burst because it knows no other instance.
+        # The store may be unreachable from the start. Guards against an instance that then uses the
+        # whole burst because it knows no other instance.
         assert seeds_exceeding_budget(Disruption.STORE_AWAY) == []
 
     def test_budget_holds_when_instances_are_added(self) -> None:
