--- a/mothstand/tests/test_burst_shares.py
+++ b/mothstand/tests/test_burst_shares.py
@@ -90,18 +90,18 @@
         # Guards against a new instance that divides the burst by more than an instance that cannot
         # read its announcement.
         log = AnnouncementLog()
-        connected, disconnected = start_fleet(log, 2)
+        connected, cut_off = start_fleet(log, 2)
         new = log.start("i9", 12.0)
         log.run([connected, new], 13.0, 24.0)
-        assert disconnected.sharers(24.0) == 2
+        assert cut_off.sharers(24.0) == 2
         assert new.sharers(24.0) == 0
 
     def test_lease_ends_before_others_reuse_the_part(self) -> None:
         # Guards against a cut-off instance that uses a part which the others already use.
         log = AnnouncementLog()
         others = start_fleet(log, 3)
-        disconnected = others.pop()
-        used_until_s = max(s / 10 for s in range(120, 600) if disconnected.sharers(s / 10))
+        cut_off = others.pop()
+        used_until_s = max(s / 10 for s in range(120, 600) if cut_off.sharers(s / 10))
         now_s = 12.0
         while others[0].sharers(now_s) == 3:
             now_s += _ANNOUNCE_INTERVAL_S
